--- a/policy/admission_queue.cc
+++ b/policy/admission_queue.cc
@@ -51,8 +51,8 @@
 
 bool AdmissionQueue::MakeRoomOfOwn(const CallOffer& offer,
                                    std::vector<Rejection>& refused) {
-  // Without this a customer's own nightly report fills its waiting room and
-  // its dock command is refused.
+  // Without this, a customer's own bulk calls (a nightly report) fill its part
+  // of the queue and its urgent calls are refused.
   for (std::size_t n = kUrgencyCount - 1;
        n > static_cast<std::size_t>(offer.urgency); --n) {
     if (const auto token = classes_[n].queue.Newest(offer.customer)) {
@@ -152,9 +152,9 @@
 void AdmissionQueue::OnDirectDispatch(Urgency urgency) {
   UrgencyClass& taken = ClassOf(urgency);
   taken.owed = std::max(0.0, taken.owed - 1);
-  // Whoever waited through this dispatch is owed its floor of it. More than
-  // one is never owed, so that a class that found no endpoint for long does
-  // not take all of them afterwards.
+  // Each urgency that kept waiting earns credit for its guaranteed minimum
+  // share. Credit is capped at one dispatch, so that an urgency that found no
+  // endpoint for a long time does not take all of them afterwards.
   for (std::size_t n = 0; n < kUrgencyCount; ++n) {
     UrgencyClass& it = classes_[n];
     if (it.queue.empty()) {
--- a/policy/admission_queue.h
+++ b/policy/admission_queue.h
@@ -14,16 +14,18 @@
 namespace damasktack {
 
 struct AdmissionOptions {
-  // Calls that may wait in all.
+  // Limit on the number of waiting calls, over all urgencies.
   std::size_t most_waiting = 4096;
-  // Part of the slot time that each urgency gets at least, while it waits.
+  // Minimum share of the slot time that each urgency receives while it has
+  // waiting calls.
   std::array<double, kUrgencyCount> floors = {0.0, 0.10, 0.05};
 };
 
-// Slot time by urgency; below it no call of that urgency is done.
+// Shortest expected slot time for each urgency. A call with less time left
+// before its deadline cannot complete.
 using ServiceTimes = std::array<Duration, kUrgencyCount>;
 
-// Urgencies in the order in which they are to be tried.
+// Lists urgencies in the order in which they are tried.
 class UrgencyOrder {
  public:
   void Append(Urgency urgency) { urgencies_[count_++] = urgency; }
@@ -35,42 +37,45 @@
   std::size_t count_ = 0;
 };
 
-// Where calls wait on one host for the endpoints of one service: by urgency,
-// within one urgency fair by share, each until its deadline. Bounded whatever
-// arrives; a call that is refused is named exactly once.
+// Holds the calls that wait on one host for the endpoints of one service. Calls
+// are grouped by urgency; within one urgency, weighted fair queueing applies by
+// customer share. A call waits until its deadline at most. The queue is bounded
+// under any load, and each refused call is reported exactly once.
 class AdmissionQueue {
  public:
   explicit AdmissionQueue(AdmissionOptions options) : options_(options) {}
 
-  // Takes the call in, or names it in `refused` where it finds no room. A
-  // less urgent call, or one of a customer that waits with more than its
-  // share, makes room and is then named instead. The token must be new.
+  // Enqueues the call, or appends it to `refused` if there is no room. A less
+  // urgent call, or a call of a customer that has more calls waiting than its
+  // share, is evicted first and is then reported instead. The token must be
+  // unique.
   void Add(WaitingCall call, std::vector<Rejection>& refused);
-  // False where the call is not waiting.
+  // Returns false if the call is not waiting.
   bool Remove(CallToken token);
   bool Contains(CallToken token) const { return calls_.contains(token); }
 
-  // The urgencies with waiting calls: those that are owed their floor first,
-  // then the most urgent.
+  // Returns the urgencies with waiting calls: first those that hold a credit
+  // from their guaranteed minimum, then the most urgent.
   UrgencyOrder Order() const;
   bool IsOwed(Urgency urgency) const;
-  // The next call of an urgency; null where none waits.
+  // Returns the next call of the urgency, or null if none waits.
   const WaitingCall* Head(Urgency urgency) const;
-  // Takes it out for a dispatch; one must be waiting.
+  // Dequeues the next call for a dispatch. At least one call must be waiting.
   WaitingCall Take(Urgency urgency);
-  // A call of this urgency went to an endpoint without waiting here.
+  // Records that a call of this urgency was dispatched without being queued.
   void OnDirectDispatch(Urgency urgency);
-  // As long as the urgency waits it is owed the next dispatch.
+  // Grants the urgency the next dispatch, provided that it has waiting calls.
   void Owe(Urgency urgency);
 
-  // Refuses every call whose deadline leaves less than `least`.
+  // Refuses every call that has no more than `least` left before its deadline.
   void Expire(TimePoint now,
               const ServiceTimes& least,
               std::vector<Rejection>& refused);
-  // Refuses every call.
+  // Refuses all waiting calls with the given reason.
   void Clear(Refusal refusal, std::vector<Rejection>& refused);
 
-  // A call held a slot for `took`; what its customer is charged follows it.
+  // Records that a call held a slot for `took`. Updates the cost that the fair
+  // queue charges the customer for each call.
   void Learn(Urgency urgency, const CustomerId& customer, Duration took);
 
   bool empty() const { return calls_.empty(); }
@@ -87,18 +92,20 @@
   struct UrgencyClass {
     FairQueue queue;
     std::set<Deadline> deadlines;
-    // Dispatches owed to the floor.
+    // Dispatch credit from the guaranteed minimum, at most 1.
     double owed = 0;
   };
 
-  // Slot time of a call of `taken` by that of a call of `waiting`.
+  // Returns the mean slot time of a call in `taken` divided by that of a call
+  // in `waiting`.
   static double CostRatio(const UrgencyClass& taken,
                           const UrgencyClass& waiting);
   UrgencyClass& ClassOf(Urgency urgency);
   const UrgencyClass& ClassOf(Urgency urgency) const;
   std::size_t WaitingOf(const CustomerId& customer) const;
-  // Makes room within the customer's own limit, or within all of it. False
-  // where nothing may go in favour of the new call.
+  // Evicts a call in favor of the new one: the first within the customer's own
+  // limit, the second within the limit of the queue. Returns false if no call
+  // may be evicted for it.
   bool MakeRoomOfOwn(const CallOffer& offer, std::vector<Rejection>& refused);
   bool MakeRoomOfAll(const CallOffer& offer, std::vector<Rejection>& refused);
   void Refuse(CallToken token,
--- a/policy/balancer.h
+++ b/policy/balancer.h
@@ -19,27 +19,27 @@
 
 namespace damasktack {
 
-// One finished send.
+// Describes the end of one send.
 struct SendEnd {
   CallToken token = 0;
   EndpointIndex endpoint = 0;
   SendResult result = SendResult::kAnswered;
-  // From the start of the send to its end.
+  // Time from the start of the send to its end.
   Duration took{};
   std::optional<EndpointReport> report;
-  // Null without an answer of the endpoint.
+  // Null if the endpoint did not answer.
   std::optional<EndpointSignals> signals = std::nullopt;
-  // The answer went through a damasktack closer to the failure, which has
-  // had its chance to send the call again.
+  // The answer passed through another damasktack closer to the failure, which
+  // was able to retry the call itself.
   bool retried_deeper = false;
-  // Other endpoints have ended under this request, so that it may not be given
-  // to one more.
+  // Endpoints have crashed while they ran this request, so it must not be sent
+  // to another one.
   bool is_suspected = false;
   // Sends of this call so far, this one included.
   int sends = 1;
 };
 
-// What to do with a call whose send has ended.
+// What to do with a call after its send has ended.
 enum class AfterSend : std::uint8_t { kDone, kRetry };
 
 struct BalancerStatus {
@@ -50,36 +50,38 @@
   std::uint64_t retries_withheld = 0;
 };
 
-// All decisions for one service on one host: who waits, who is sent where,
-// what is measured, what is tried again. Pure: no clock, sockets or threads;
-// the owner serialises the calls and carries out what comes back.
+// Makes all decisions for one service on one host: which calls wait, which
+// endpoint receives each call, which endpoints are probed and which calls are
+// retried. It has no clock, sockets or threads; the owner serializes the calls
+// and carries out the returned decisions.
 class Balancer {
  public:
   virtual ~Balancer() = default;
 
-  // Follows the published list. Indexes of endpoints that stay are kept.
+  // Applies the published list. Endpoints that stay listed keep their index.
   // `hosts` is the number of entry hosts that share the endpoints.
   virtual void SetService(const ServiceSpec& service,
                           std::int64_t hosts,
                           TimePoint now) = 0;
 
-  // This host's place among those hosts, by which it shares with them what an
-  // endpoint bears.
+  // Sets this host's rank among the entry hosts. It determines this host's
+  // share of the calls that an endpoint tolerates.
   virtual void SetSeat(const FleetSeat& /*seat*/) {}
 
-  // Takes a call in; `out` may hold its dispatch or rejection at once.
+  // Accepts a call. `out` may hold its dispatch or rejection at once.
   virtual void Offer(const CallOffer& offer, TimePoint now, Decisions& out) = 0;
-  // Takes a waiting call out, when its caller went away. False where the call
-  // is not waiting.
+  // Removes a waiting call whose caller went away. Returns false if the call is
+  // not waiting.
   virtual bool Withdraw(CallToken token, TimePoint now) = 0;
-  // Frees the endpoint's place and says whether the call may be sent again;
-  // kRetry puts the call back among the waiting.
+  // Releases the endpoint's slot and returns whether the call is retried;
+  // kRetry puts the call back into the queue.
   virtual AfterSend Finish(const CallOffer& offer,
                            const SendEnd& end,
                            TimePoint now,
                            Decisions& out) = 0;
-  // When the caller of a call whose last send was finished and surely did not
-  // run may come back with a chance. Zero: what is usual for the failure.
+  // Returns how long the caller should wait before it tries again, for a call
+  // whose last send ended without an execution. Zero stands for the default of
+  // the kind of failure.
   virtual Duration RetryAfterSend(const CallOffer& /*offer*/,
                                   const SendEnd& /*end*/,
                                   TimePoint /*now*/) {
@@ -89,8 +91,8 @@
                       const EndpointReport& report,
                       TimePoint now,
                       Decisions& out) = 0;
-  // What an endpoint's answer to a call, sent at `asked_at`, or to a probe says
-  // of the requests that it wants; before Finish or Report of that answer.
+  // Handles the signals in an endpoint's answer to a call, sent at `asked_at`,
+  // or to a probe. Must come before Finish or Report for the same answer.
   virtual void OnSignals(EndpointIndex endpoint,
                          const EndpointSignals& signals,
                          TimePoint asked_at,
@@ -98,28 +100,30 @@
   virtual void OnProbeSignals(EndpointIndex endpoint,
                               const EndpointSignals& signals,
                               TimePoint now) = 0;
-  // The rate limit that the endpoint has stated; null without one.
+  // Returns the rate limit that the endpoint has stated, or null if it has
+  // stated none.
   virtual std::optional<double> RateLimit(EndpointIndex endpoint) const = 0;
-  // Another host was told at `stated_at` of the endpoint's rate limit, or of
-  // its end.
+  // Handles news from another host, to which the endpoint stated its rate
+  // limit, or the end of the limit, at `stated_at`.
   virtual void HearRateLimit(const EndpointProcess& endpoint,
                              std::optional<double> rate_limit,
                              TimePoint stated_at) = 0;
-  // Another host has seen the endpoint drain.
+  // Handles news from another host that the endpoint is draining.
   virtual void HearDrain(const EndpointId& id, TimePoint now) = 0;
-  // Time passes: refuses what missed its deadline, sends what may go now.
+  // Advances the time: refuses calls that missed their deadline and dispatches
+  // calls that can be sent now.
   virtual void Tick(TimePoint now, Decisions& out) = 0;
-  // The next endpoint worth a probe, if the budget allows one now.
+  // Returns the next endpoint to probe, if the budget allows a probe now.
   virtual std::optional<EndpointIndex> NextProbe(TimePoint now) = 0;
-  // Whether NextProbe is to be asked also while no call waits.
+  // Returns whether NextProbe must be polled even while no call waits.
   virtual bool probes_while_quiet() const = 0;
-  // A probe that was sent brought no report.
+  // Handles a probe that was sent and returned no report.
   virtual void ProbeFailed(EndpointIndex endpoint,
                            SendResult result,
                            TimePoint now,
                            Decisions& out) = 0;
 
-  // Ejections and what followed them, since the last call.
+  // Returns the ejections and returns of endpoints since the last call.
   virtual std::vector<EndpointChange> TakeChanges() { return {}; }
 
   virtual const EndpointSpec& endpoint(EndpointIndex index) const = 0;
--- a/policy/baseline_pickers.h
+++ b/policy/baseline_pickers.h
@@ -7,8 +7,8 @@
 
 namespace damasktack {
 
-// The pickers that the chosen one is measured against. The first four send at
-// once, whatever the load, as common load balancers do.
+// Pickers that serve as baselines for the production picker. The first four
+// dispatch at once under any load, as common load balancers do.
 
 class RandomPicker {
  public:
@@ -25,23 +25,25 @@
   std::uint32_t next_ = 0;
 };
 
-// The fewest calls of this host; ties at random.
+// Picks the endpoint with the fewest calls in flight from this host; breaks
+// ties at random.
 class LeastOwnPicker {
  public:
   static constexpr std::string_view kName = "least-own";
   std::optional<EndpointIndex> Pick(const CandidateView& view, Random& random);
 };
 
-// Of two at random, the one with fewer calls by its last report, however old,
-// and by the own calls.
+// Draws two endpoints at random and picks the one with fewer calls, counted by
+// its last report, of any age, and this host's own calls.
 class TwoChoicesPicker {
  public:
   static constexpr std::string_view kName = "two-choices";
   std::optional<EndpointIndex> Pick(const CandidateView& view, Random& random);
 };
 
-// Weighs every endpoint as the chosen picker does and takes the cheapest that
-// has room; plain on purpose.
+// Evaluates every endpoint with the same cost as the production picker and
+// takes the cheapest that has room. Deliberately simple: tests compare the
+// production picker with it.
 class NaivePicker {
  public:
   static constexpr std::string_view kName = "naive";
--- a/policy/call.h
+++ b/policy/call.h
@@ -10,65 +10,66 @@
 
 namespace damasktack {
 
-// Names one received call within one process.
+// Identifies one received call within one process.
 using CallToken = std::uint64_t;
 
-// Index of an endpoint within its service's balancer. Stays the same for as
-// long as the endpoint is listed.
+// Index of an endpoint within its service's balancer. It stays the same as long
+// as the endpoint is listed.
 using EndpointIndex = std::uint32_t;
 
-// What a caller is told; the value of the header Damasktack-Outcome.
+// What the caller is told about the call; sent in the header
+// Damasktack-Outcome.
 enum class Outcome : std::uint8_t {
-  // The whole answer of one execution.
+  // The caller received a complete answer of one execution.
   kComplete,
-  // No endpoint ran the call, and none will.
+  // No endpoint ran the call, and none will run it.
   kNotRun,
-  // It may have run.
+  // The call may have run.
   kUnknown,
 };
 std::string_view ToString(Outcome outcome);
 
 // How one send to an endpoint ended.
 enum class SendResult : std::uint8_t {
-  // A whole answer that is not a shed.
+  // A complete answer that is neither a shed nor a server error.
   kAnswered,
-  // A whole answer with a server error status (5xx) that is not a shed.
+  // A complete answer with a server error status (5xx) that is not a shed.
   kFailed,
-  // The endpoint's own word that it did not run the call.
+  // The endpoint answered that it did not run the call.
   kShed,
-  // No connection; nothing was written.
+  // The connection failed; nothing was written.
   kNotConnected,
-  // Another endpoint has the address now, and refused to run what was not meant
-  // for it.
+  // Another endpoint now has the address and rejected the call, which was not
+  // addressed to it.
   kMisdirected,
-  // Something was written and no whole answer came.
+  // Part of the call was written, and no complete answer arrived.
   kBroken,
   kTimedOut,
-  // The caller went away or the call was cancelled by this host.
+  // The caller went away, or this host cancelled the call.
   kCancelled,
 };
 inline constexpr std::size_t kSendResultCount = 8;
 std::string_view ToString(SendResult result);
 
-// Whether the send surely led to no execution.
+// Returns whether the send certainly led to no execution.
 bool SurelyNotRun(SendResult result);
 
-// Whether a call may be sent again after the send: only where that surely did
-// not run, or where running twice does no harm. Never after a whole answer
-// that is not an error, nor for a caller that has gone.
+// Returns whether a call may be sent again after the send: only if the send
+// certainly did not run, or if the call is idempotent. Never after a complete
+// answer that is not an error, nor for a caller that has gone.
 bool MaySendAgain(SendResult result, bool idempotent);
 
-// Why a call was refused without a send.
+// Reason why a call was refused without being sent.
 enum class Refusal : std::uint8_t {
   kNone,
-  // The deadline passed, or cannot be met any more.
+  // The deadline has passed or can no longer be met.
   kDeadline,
-  // No free slot, and the contract says to shed.
+  // No slot is free, and the contract asks to shed such calls.
   kShed,
-  // The customer's or the host's waiting room is full.
+  // The customer's or the host's limit of waiting calls is reached.
   kQueueFull,
   kNoEndpoint,
-  // Over the customer's limit.
+  // The customer is over its limit.
   kLimit,
   kStopping,
 };
--- a/policy/call_offer.h
+++ b/policy/call_offer.h
@@ -13,54 +13,56 @@
 
 namespace damasktack {
 
-// One call that asks for an endpoint.
+// A call that needs an endpoint.
 struct CallOffer {
   CallToken token = 0;
   CustomerId customer;
   std::int64_t share = 1;
   Urgency urgency = Urgency::kNormal;
   ShortageTreatment when_short = ShortageTreatment::kWait;
-  // Calls of the customer that may wait here; 0 means "no bound".
+  // Limit on the customer's calls that wait on this host; 0 means no limit.
   std::int64_t waiting_limit = 256;
   bool idempotent = false;
-  // The hop before this one is already sending the call again, so this hop
-  // does not: repeats at every depth would multiply.
+  // The previous hop is already retrying the call, so this hop does not:
+  // retries at every hop would multiply.
   bool is_repeat = false;
-  // Repeated sends allowed to the customer, percent of first sends.
+  // Retry budget of the customer, in percent of its first sends.
   std::int64_t retry_percent = 10;
-  // Where it may be worked on; anywhere if there is none.
+  // Regions in which the call may run; empty means any region.
   std::vector<RegionId> allowed_regions;
-  // Sends of this call at most; 0 where the service's own bound holds alone.
+  // Limit on the sends of this call; 0 means that only the service's limit
+  // applies.
   int most_sends = 0;
-  // How long the caller allowed the call to take when it arrived here.
+  // Time that the caller allowed for the call when it arrived here.
   Duration asked{};
-  // An answer later than this is worth little to the caller.
+  // The service objective: an answer after this time is of little use to the
+  // caller.
   TimePoint on_time_until;
   TimePoint arrival;
   TimePoint deadline;
 };
 
-// A call among the waiting.
+// A call in the queue.
 struct WaitingCall {
   CallOffer offer;
-  // The endpoint of the send that has just failed.
+  // Endpoint of the send that has just failed; avoided while there is another.
   std::optional<EndpointIndex> avoid;
 };
 
-// What a decision on a call rested on, for its line in the log.
+// The data behind a decision on a call, for its log line.
 struct DecisionBasis {
-  // How long the call was expected to take at the best endpoint; zero where
-  // nothing was estimated.
+  // Expected duration of the call at the best endpoint; zero if nothing was
+  // estimated.
   Duration expected{};
-  // How old the report was that said so; negative without any.
+  // Age of the report that the estimate used; negative without a report.
   Duration report_age{-1};
-  // Set where the call goes to a cold endpoint that bears few.
+  // Set if the call goes to a cold endpoint whose rate of calls is limited.
   std::optional<ColdBasis> cold = std::nullopt;
 
   bool operator==(const DecisionBasis&) const = default;
 };
 
-// The order to send a waiting call to an endpoint now.
+// Order to send a waiting call to an endpoint now.
 struct Dispatch {
   CallToken token = 0;
   EndpointIndex endpoint = 0;
@@ -69,18 +71,20 @@
   bool operator==(const Dispatch&) const = default;
 };
 
-// A waiting call that is refused now; it was not sent since it last waited.
+// Order to refuse a waiting call. The call has not been sent since it was last
+// queued.
 struct Rejection {
   CallToken token = 0;
   Refusal refusal = Refusal::kNone;
-  // When a new try has a chance; zero where only what is usual is known.
+  // Time after which a new attempt may succeed; zero stands for the default of
+  // the refusal.
   Duration retry_after{};
   DecisionBasis basis{};
 
   bool operator==(const Rejection&) const = default;
 };
 
-// The decisions ready for execution after an event.
+// Decisions to carry out after an event.
 struct Decisions {
   std::vector<Dispatch> dispatches;
   std::vector<Rejection> rejections;
--- a/policy/call_outcome.cc
+++ b/policy/call_outcome.cc
@@ -84,7 +84,7 @@
 }
 
 void CallOutcome::OnGivenUp() {
-  // An answer has ended the call already.
+  // In a final state, an answer has ended the call already.
   if (!GetCallChart().IsFinal(state_)) {
     Follow(CallEvent::kGiveUp);
   }
--- a/policy/call_outcome.h
+++ b/policy/call_outcome.h
@@ -10,15 +10,16 @@
 
 namespace damasktack {
 
-// States of one received call; policy/charts/call.json says what leads where.
+// States of one received call; policy/charts/call.json defines the transitions.
 // A name that ends in "unsure" follows a send that may have run the call.
 enum class CallState : std::uint8_t {
   kWaiting,
   kConnecting,
   kWritten,
-  // The last send surely did not run, nor did any before it.
+  // Neither the last send nor any send before it ran the call.
   kClear,
-  // A whole answer with a server error, which may be sent again or passed on.
+  // A complete answer with a server error, which may be retried or passed on to
+  // the caller.
   kFailed,
   kUnsure,
   kWaitingUnsure,
@@ -38,8 +39,8 @@
   kAnswered,
   kFailed,
   kLost,
-  // Sent once more: after a send that surely did not run, and after one that
-  // may have.
+  // The call is sent again: kSendAgain after sends that did not run, kRepeat
+  // after a send that may have run.
   kSendAgain,
   kRepeat,
   kGiveUp,
@@ -62,31 +63,34 @@
 
 using CallChart = BoundChart<CallState, CallEvent>;
 
-// The chart that the binary carries, bound at the first call.
+// Returns the state chart that is embedded in the binary; it is bound at the
+// first call.
 const CallChart& GetCallChart();
 
-// What one received call has come to, over all of its sends. The owner tells
-// it each step in order; it answers whether the call may be sent again and
-// what its caller is told. A step that the chart does not know makes the call
-// unsure for good: a defect elsewhere must not turn into "not-run".
+// Tracks the outcome of one received call over all of its sends. The owner
+// reports each step in order; the class answers whether the call may be sent
+// again and what its caller is told. A step that the chart does not define
+// leaves the outcome unknown for good, so that a defect elsewhere cannot turn
+// into "not-run".
 class CallOutcome {
  public:
   explicit CallOutcome(bool idempotent) : idempotent_(idempotent) {}
 
-  // An endpoint was chosen, or the call was refused or withdrawn.
+  // An endpoint was chosen (OnPlaced), or the call was refused or withdrawn
+  // (OnRefused).
   void OnPlaced();
   void OnRefused();
-  // The first byte is about to be written. May be left out where the send's
-  // result says as much.
+  // The first byte is about to be written. May be omitted if the result of the
+  // send implies it.
   void OnWrote();
   void OnSendEnd(SendResult result);
-  // Instead of the next two, the owner sends the call again or ends it.
+  // After OnSendEnd, the owner either sends the call again or ends it.
   void OnSentAgain();
   void OnGivenUp();
 
-  // Whether OnSentAgain may come now.
+  // Returns whether OnSentAgain may be called now.
   bool MaySendAgain() const;
-  // What the caller is told where nothing more happens.
+  // Returns what the caller is told if no further step follows.
   Outcome outcome() const;
   CallState state() const { return state_; }
 
@@ -94,7 +98,7 @@
   void Follow(CallEvent event);
 
   bool idempotent_;
-  // A step came that the chart does not know.
+  // A step was reported that the chart does not define.
   bool confused_ = false;
   CallState state_ = CallState::kWaiting;
 };
--- a/policy/caller_times.cc
+++ b/policy/caller_times.cc
@@ -6,13 +6,13 @@
 
 namespace {
 
-// After which an earlier longest time is forgotten; a route has its first
-// callers many times within it.
+// Time after which an earlier maximum is forgotten. Each route receives
+// first-time callers many times within it.
 constexpr Duration kSpan = std::chrono::seconds(20);
-// Whoever was refused has lost more than this: two ways, and the least time
-// that is told before a return.
+// A refused caller has lost more than this: two network round trips, and the
+// shortest retry delay that it is told.
 constexpr Duration kLostByReturn = std::chrono::milliseconds(10);
-// Routes that are remembered; all are forgotten beyond.
+// Limit on the remembered routes; beyond it, all are forgotten.
 constexpr std::size_t kMostRoutes = 4096;
 
 }  // namespace
--- a/policy/caller_times.h
+++ b/policy/caller_times.h
@@ -9,21 +9,21 @@
 
 namespace damasktack {
 
-// Tells a caller that has been refused elsewhere from one that comes for the
-// first time: callers of one route begin with the same time, and whoever comes
-// back has less of it left. Where callers begin with times of their own, nearly
-// all of them count as having come back, and none goes before another.
+// Distinguishes returning callers, which another host has refused, from
+// first-time callers. Callers of one route start with the same time allowance,
+// and a returning caller has less of it left. If callers start with different
+// allowances, nearly all of them count as returning, so none is preferred.
 class CallerTimes {
  public:
-  // A caller of the route allows its call `asked`.
+  // Records that a caller of the route allows `asked` for its call.
   void Note(const CustomerId& route, Duration asked, TimePoint now);
-  // Whether one that allows `asked` has come back.
+  // Returns whether a caller that allows `asked` is a returning one.
   bool HasComeBack(const CustomerId& route, Duration asked) const;
 
   std::size_t routes() const { return longest_.size(); }
 
  private:
-  // The longest time of a span and of the one before it.
+  // Longest allowance in the current span and in the span before it.
   struct Longest {
     TimePoint since;
     Duration now{};
--- a/policy/candidate_view.cc
+++ b/policy/candidate_view.cc
@@ -6,9 +6,10 @@
 
 namespace {
 
-// Waiting for a slot costs little while some are free and much when few are:
-// the fourth power of the load. So a near endpoint is kept until it is nearly
-// full, and among full ones the load alone counts.
+// Cost of waiting for a slot: the fourth power of the load. It is low while
+// some slots are free and rises steeply when few are. A near endpoint is thus
+// preferred until it is nearly full, and among full endpoints only the load
+// counts.
 double WaitCost(double load) {
   const double square = load * load;
   return square * square;
--- a/policy/candidate_view.h
+++ b/policy/candidate_view.h
@@ -9,31 +9,29 @@
 
 namespace damasktack {
 
-// One endpoint weighed for one call.
+// One endpoint, evaluated for one call.
 struct EndpointCandidate {
   EndpointIndex index = 0;
-  // What it would cost to send the call there, in load by slot; lower is
-  // better.
+  // Cost of sending the call there, in load per slot; lower is better.
   double cost = 0;
-  // Whether the load stays below the most that the call allows.
+  // Whether the load stays below the maximum that the call allows.
   bool has_room = false;
 };
 
-// What a picker sees for one choice: the endpoints that take calls, by
-// position. Candidates are weighed when asked for, so that a picker that
-// samples pays for its sample alone.
+// Gives a picker the endpoints that take calls, by position. Candidates are
+// evaluated on access, so that a picker that samples pays for its sample alone.
 class CandidateView {
  public:
   struct Choice {
     double most_load = 1;
-    // The endpoint to leave out while there is another.
+    // Endpoint to leave out as long as there is another.
     std::optional<EndpointIndex> avoid;
-    // Whether the host holds less than its own part of the service's slots,
-    // and so may send although no endpoint seems to have room. Without this
-    // a host whose reports stay high or frozen would never send again.
+    // Whether the host uses less than its fair share of the service's slots,
+    // and so may send although no endpoint seems to have room. Without this, a
+    // host whose reports stay high or frozen would never send again.
     bool below_own_part = false;
     LoadPrior prior;
-    // What the way to another zone adds to the cost.
+    // Added cost of sending the call to another zone.
     double zone_cost = 0;
     TimePoint now;
   };
@@ -56,7 +54,8 @@
   bool IsAvoided(std::size_t position) const {
     return size() > 1 && choice_.avoid == usable_[position];
   }
-  // The share of choices in which it is a candidate; see CandidateShare.
+  // Returns the share of choices in which the endpoint is a candidate; see
+  // CandidateShare.
   double ShareAt(std::size_t position) const;
 
  private:
--- a/policy/chart_texts.cc
+++ b/policy/chart_texts.cc
@@ -6,7 +6,7 @@
 
 std::string_view CallChartText() {
   return R"chart({
-  // One received call through all of its sends. A state whose name ends in
+  // States of one received call over all of its sends. A name that ends in
   // "unsure" follows a send that may have run the call.
   "name": "call",
   "initial": "waiting",
@@ -30,17 +30,17 @@
     {"from": "written", "event": "shed", "to": "clear"},
     {"from": "written", "event": "lost", "to": "unsure"},
 
-    // No send so far has run: any call may be sent again.
+    // No send so far has run the call: any call may be sent again.
     {"from": "clear", "event": "send-again", "to": "waiting"},
     {"from": "clear", "event": "give-up", "to": "not-run"},
 
-    // A send may have run: "repeat" is for idempotent calls alone.
+    // A send may have run the call: only idempotent calls may "repeat".
     {"from": "failed", "event": "repeat", "to": "waiting-unsure"},
     {"from": "failed", "event": "give-up", "to": "complete"},
     {"from": "unsure", "event": "repeat", "to": "waiting-unsure"},
     {"from": "unsure", "event": "give-up", "to": "unknown"},
 
-    // Nothing that a later send proves takes back that an earlier may have run.
+    // An earlier send may have run the call, whatever the result of later ones.
     {"from": "waiting-unsure", "event": "placed", "to": "connecting-unsure"},
     {"from": "waiting-unsure", "event": "refused", "to": "unknown"},
     {"from": "connecting-unsure", "event": "not-connected", "to": "unsure"},
@@ -56,7 +56,7 @@
 
 std::string_view EndpointChartText() {
   return R"chart({
-  // One endpoint as one host sees it.
+  // States of one endpoint as seen by one host.
   "name": "endpoint",
   "initial": "starting",
   "final": ["gone"],
@@ -74,7 +74,7 @@
     {"from": "warming", "event": "warmed", "to": "serving"},
     {"from": "warming", "event": "failing", "to": "ejected"},
     {"from": "warming", "event": "drains", "to": "draining"},
-    // It was replaced behind its address and says that it is cold.
+    // It was replaced at the same address and reports that it is cold.
     {"from": "warming", "event": "restarts", "to": "starting"},
     {"from": "warming", "event": "unlisted", "to": "gone"},
     {"from": "serving", "event": "failing", "to": "ejected"},
@@ -88,7 +88,7 @@
     {"from": "trial", "event": "failing", "to": "ejected"},
     {"from": "trial", "event": "drains", "to": "draining"},
     {"from": "trial", "event": "unlisted", "to": "gone"},
-    // A drain that was announced by mistake ends when the endpoint serves.
+    // A drain that was reported by mistake ends when the endpoint serves again.
     {"from": "draining", "event": "serves", "to": "warming"},
     {"from": "draining", "event": "unlisted", "to": "gone"}
   ]
--- a/policy/cold_allowance.h
+++ b/policy/cold_allowance.h
@@ -10,17 +10,18 @@
 
 namespace damasktack {
 
-// When one host may send a call to one endpoint that is cold.
+// Decides when one host may send a call to one cold endpoint.
 //
-// The load that it answers: the endpoints of a zone come back together with
-// empty caches. Each of them tolerates a few calls a second from all hosts
-// together, and crashes well above that; each looks free to every host.
+// Made for the endpoints of a zone that return together with empty caches. Each
+// of them tolerates a few calls a second from all hosts together and crashes
+// well above that, while it looks free to every host.
 class ColdAllowance {
  public:
-  // `seed` differs by host and by endpoint.
+  // `seed` must differ for each pair of host and endpoint.
   explicit ColdAllowance(std::uint64_t seed = 0) : rate_(seed) {}
 
-  // The newest word of how long the endpoint stays cold, and whose it is.
+  // Stores the latest statement of how long the endpoint stays cold, and its
+  // source.
   void OnCold(ColdWord word, TimePoint until, TimePoint now) {
     if (until != cold_until_) {
       word_ = word;
@@ -33,11 +34,11 @@
   ColdWord word() const { return word_; }
   TimePoint told_at() const { return told_at_; }
 
-  // Where the host has a seat: whether it has a turn at the endpoint.
+  // For a host with a rank: its quota at the endpoint.
   SeatTurns& turns() { return turns_; }
   bool HasTurn(TimePoint now) const { return turns_.HasOne(now); }
-  // Where it has none: whether its part of the rate, `share` calls a second,
-  // lets a call through.
+  // For a host without a rank: returns whether its share of the rate, `share`
+  // calls a second, allows a call now.
   bool Allows(double share, TimePoint now) const {
     return !IsCold(now) || rate_.Allows(share, now);
   }
--- a/policy/cold_basis.h
+++ b/policy/cold_basis.h
@@ -9,29 +9,31 @@
 
 namespace damasktack {
 
-// Who says that an endpoint is cold.
+// Source of the statement that an endpoint is cold.
 enum class ColdWord : std::uint8_t {
-  // Its entry in the published list.
+  // The endpoint's entry in the published list.
   kList,
-  // The endpoint itself, on the answer to a probe.
+  // The endpoint itself, in its answer to a probe.
   kProbe,
-  // Nobody yet: the drain of its zone has ended.
+  // Inferred: the drain of its zone has ended, and no source has stated it yet.
   kDrainEnd,
 };
 std::string_view ToString(ColdWord word);
 
-// What a host believed of a cold endpoint when it placed a call there.
+// State of a cold endpoint, as known to the host when it sent a call there.
 struct ColdBasis {
   ColdWord word = ColdWord::kList;
-  // How long ago that was said, and how much longer the endpoint stays cold.
+  // Age of the statement, and the remaining time for which the endpoint stays
+  // cold.
   Duration word_age{};
   Duration left{};
-  // Calls there and the slots for them, and how long ago the report that says
-  // so was asked for.
+  // Calls and slots at the endpoint, and the time since the report of them was
+  // requested.
   double calls = 0;
   double slots = 0;
   Duration asked_age{};
-  // This host's seat, and the hosts that share the endpoint as it believes.
+  // This host's rank, and its estimate of the number of hosts that share the
+  // endpoint.
   FleetSeat seat;
   double hosts = 0;
 
--- a/policy/cold_endpoints.cc
+++ b/policy/cold_endpoints.cc
@@ -9,14 +9,15 @@
 
 namespace {
 
-// The part of the rate that hosts share out. Where all of them begin to have
-// calls at one moment, those of the windows that have begun and of the next
-// ones come within a second.
+// Fraction of the rate that is divided among the hosts. If all hosts start to
+// have calls at the same moment, the calls of the windows in progress and of
+// the next windows fall within one second.
 constexpr double kSharedOut = 0.5;
-// The part of the bound that is given out in turns: a turn is counted by two
-// hosts where one of them has not heard yet that it lost its seat.
+// Fraction of the limit that is handed out as quota: two hosts use the same
+// unit while one of them has not learned yet that it lost its rank.
 constexpr double kSharedTurns = 0.5;
-// Fewer calls than this are none; estimates that fade are no whole numbers.
+// Calls below which an endpoint counts as idle; decayed estimates are not whole
+// numbers.
 constexpr double kIdleCalls = 0.5;
 
 }  // namespace
@@ -51,8 +52,8 @@
   return static_cast<int>(most * kSharedTurns);
 }
 
-// What the endpoints of a zone had in their caches is gone when the zone is
-// given back, and the list says so a heartbeat later only.
+// The endpoints of a zone have lost their caches when its drain ends, but the
+// list states this only one heartbeat later.
 void ColdEndpoints::OnListed(EndpointIndex index,
                              const EndpointSpec* before,
                              const EndpointSpec& spec,
@@ -93,8 +94,8 @@
   return look.is_known && has_room && IsAllowed(look.index, now);
 }
 
-// Read late, an answer from before the endpoint became cold would end what the
-// list has said since.
+// An answer requested before the latest statement cannot end it: read late, it
+// would make the endpoint look warm although it has become cold since.
 void ColdEndpoints::OnColdTime(EndpointIndex index,
                                Duration cold_for,
                                TimePoint asked_at,
--- a/policy/cold_endpoints.h
+++ b/policy/cold_endpoints.h
@@ -11,50 +11,49 @@
 
 namespace damasktack {
 
-// What the fleet may send to one cold endpoint within any second:
-// rate * overshoot + slack.
+// Limit on the calls that the fleet sends to one cold endpoint within any
+// second: rate * overshoot + slack.
 struct ColdBoundOptions {
   double overshoot = 1;
   double slack = 0;
 };
 
-// An endpoint as a decision sees it.
+// Load of an endpoint, as known when a decision is made.
 struct ColdLook {
   EndpointIndex index = 0;
-  // Calls there and the slots for them, by a report that is fresh.
+  // Whether `calls` and `slots` come from a fresh report.
   bool is_known = false;
   double calls = 0;
   double slots = 1;
 };
 
-// Which endpoints of a service are cold, as one host believes, and whether it
-// may send them a call. Pure.
+// Tracks which endpoints of a service are cold and decides whether one host may
+// send them a call. It has no clock, sockets or threads.
 //
-// The load that it answers: a zone's endpoints come back cold and look free to
-// every host of the fleet. A free slot shows that a call would not queue; it
-// does not bound the calls of a second, since callers leave and errors free
-// slots early, and since many hosts may go by one report. So each endpoint
-// takes calls from the few hosts whose seats have its turns only. A host
-// without a seat keeps to its part of the rate, and sends to an idle endpoint
-// only.
+// Made for the endpoints of a zone that return cold and look free to every host
+// of the fleet. A free slot shows that a call would not queue. It does not
+// limit the calls within a second: callers that leave and errors free slots
+// early, and many hosts may act on one report. So each endpoint accepts calls
+// only from the few hosts whose ranks hold its quota. A host without a rank
+// keeps to its share of the rate and sends only to an idle endpoint.
 class ColdEndpoints {
  public:
   ColdEndpoints(const HostId& host, const ColdBoundOptions& options)
       : host_(host), options_(options) {}
 
-  // `hosts` is the number of entry hosts as this one believes.
+  // `hosts` is this host's count of the entry hosts.
   void SetService(const ServiceSpec& service,
                   std::int64_t hosts,
                   TimePoint now);
-  // This host's place among the hosts from now on.
+  // Sets this host's rank among the entry hosts.
   void SetSeat(const FleetSeat& seat);
-  // What the list says of an endpoint; `before` is what it said last, null
-  // where the index is a new process's.
+  // Applies an endpoint's entry in the published list. `before` is its previous
+  // entry, null if the index now belongs to a new process.
   void OnListed(EndpointIndex index,
                 const EndpointSpec* before,
                 const EndpointSpec& spec,
                 TimePoint now);
-  // The endpoint's own word, on the answer to a probe that went out at
+  // Applies the endpoint's own statement, in its answer to a probe sent at
   // `asked_at`.
   void OnColdTime(EndpointIndex index,
                   Duration cold_for,
@@ -64,30 +63,32 @@
     allowances_[index].OnSend(now);
   }
 
-  // Whether work takes longer there.
+  // Returns whether executions take longer there because the endpoint is cold.
   bool IsSlow(EndpointIndex index, TimePoint now) const {
     return allowances_[index].IsCold(now);
   }
-  // Whether it bears few calls only.
+  // Returns whether the endpoint tolerates only a limited rate of calls.
   bool IsCold(EndpointIndex index, TimePoint now) const {
     return rate_ > 0 && IsSlow(index, now);
   }
-  // Whether a call may go there.
+  // Returns whether the endpoint may be sent a call now.
   bool MayTakeOne(const ColdLook& look, TimePoint now) const;
-  // What a call that goes there now rests on; null where it bears any number.
+  // Returns the basis for sending a call there now; null if the rate of calls
+  // is not limited.
   std::optional<ColdBasis> BasisOf(EndpointIndex index, TimePoint now) const;
-  // Whether a report could show that a call may go there.
+  // Returns whether a fresh report could allow a call there.
   bool IsWorthALook(EndpointIndex index, TimePoint now) const;
 
  private:
-  // The turns at each endpoint, of all hosts; none where it takes too few calls
-  // to be shared out in this way.
+  // Quota at each endpoint over all hosts, in calls per window; 0 if the
+  // endpoint tolerates too few calls to be divided in this way.
   int Turns() const;
   bool GoesByTurns() const { return seat_.IsKnown() && Turns() > 0; }
   void DrawAllTurns();
-  // Whether this host may send a call there, whatever the endpoint reports.
+  // Whether this host's quota or share allows a call, regardless of the
+  // endpoint's report.
   bool IsAllowed(EndpointIndex index, TimePoint now) const;
-  // This host's part of the rate, in calls a second.
+  // This host's share of the rate, in calls a second.
   double Share(TimePoint now) const;
 
   const HostId host_;
--- a/policy/cold_pace.cc
+++ b/policy/cold_pace.cc
@@ -6,9 +6,10 @@
 
 namespace {
 
-// Weight of one more execution.
+// Weight of a new execution in the moving average.
 constexpr double kSampleWeight = 1.0 / 8;
-// Slower ones wait in a queue or fail; that says nothing of the start.
+// Upper bound on the slowdown of one execution. Beyond it the call waited in a
+// queue or failed, which is unrelated to the start.
 constexpr double kMostPace = 4;
 
 }  // namespace
--- a/policy/cold_pace.h
+++ b/policy/cold_pace.h
@@ -5,20 +5,22 @@
 
 namespace damasktack {
 
-// How many times longer an execution takes at an endpoint of a service that
-// has just started. Learnt from answers, since nobody publishes it.
+// Estimates how many times longer an execution takes at an endpoint that has
+// just started. It is learned from answers, since no source publishes it.
 //
-// The load that it answers: hundreds of endpoints join at once, free and slow,
-// and each host sends calls there that others would have ended on time.
+// Made for hundreds of endpoints that join at once, free but slow: each host
+// sent calls there that other endpoints would have completed on time.
 class ColdPace {
  public:
   double value() const { return value_; }
 
-  // An execution took `took` where a warm endpoint would have taken `usual`.
+  // Records an execution that took `took`, where a warm endpoint would have
+  // taken `usual`.
   void OnExecution(Duration took, Duration usual);
 
  private:
-  // Caches are empty and code is not yet compiled: twice as long is common.
+  // Starts at 2: with empty caches and code that is not compiled yet,
+  // executions commonly take twice as long.
   double value_ = 2;
 };
 
--- a/policy/crash_ledger.cc
+++ b/policy/crash_ledger.cc
@@ -9,9 +9,10 @@
 
 namespace {
 
-// Requests cleared last: a sighting may arrive after the word that clears it.
+// Number of recently cleared requests that are kept: an observation may arrive
+// after the message that clears its request.
 constexpr std::size_t kMostCleared = 64;
-// A trial that has brought no word for this long is given to another call.
+// A trial without a result for this long is given to another call.
 constexpr Duration kTrialTime = std::chrono::seconds(5);
 constexpr std::uint32_t kStretchSteps = 1000;
 
--- a/policy/crash_ledger.h
+++ b/policy/crash_ledger.h
@@ -14,7 +14,7 @@
 
 namespace damasktack {
 
-// An endpoint's process ended while it worked on the request.
+// An endpoint's process ended while it ran the request.
 struct CrashSighting {
   RequestFingerprint request;
   EndpointProcess endpoint;
@@ -24,7 +24,7 @@
   bool operator==(const CrashSighting&) const = default;
 };
 
-// The request was answered by an endpoint: it does not crash what runs it.
+// An endpoint answered the request, so the request does not crash endpoints.
 struct ClearedRequest {
   RequestFingerprint request;
   // By this host's clock.
@@ -34,83 +34,93 @@
 };
 
 struct CrashLedgerOptions {
-  // Endpoints that have to end under a request before it is quarantined.
+  // Crashes of endpoints that ran a request before it is quarantined.
   std::size_t crashes_to_quarantine = 3;
-  // From the last crash; doubled with each further one.
+  // Quarantine time from the last crash; it doubles with each further crash.
   Duration quarantine = std::chrono::seconds(60);
   Duration longest_quarantine = std::chrono::hours(1);
-  // Two crashes of one process that lie less than this apart are one, seen by
+  // Two crashes of one process within this time are the same crash, observed by
   // two calls.
   Duration same_crash = std::chrono::seconds(1);
-  // Evidence is forgotten after this.
+  // Time after which crashes are forgotten.
   Duration memory = std::chrono::hours(2);
-  // Crashes that are remembered, and those of them that wait for a check.
+  // Limits on the remembered crashes and on the unconfirmed ones among them.
   std::size_t most_crashes = 256;
   std::size_t most_unconfirmed = 64;
-  // Requests remembered for one crash: those that its endpoint worked on.
+  // Limit on the requests remembered for one crash; these are the requests that
+  // the endpoint was running.
   std::size_t most_suspects = 64;
 };
 
-// What a broken call asks of the ledger's owner.
+// What the owner must do after a broken call.
 enum class SuspectStep : std::uint8_t {
   kNone,
-  // Find out whether the endpoint has ended; then Confirm or Dismiss.
+  // Check whether the endpoint's process has ended, then call Confirm or
+  // Dismiss.
   kCheck,
-  // The endpoint is known to have ended: the sighting is one to pass on.
+  // The endpoint's process is known to have ended: share the observation with
+  // other hosts.
   kShare,
 };
 
 enum class Suspicion : std::uint8_t {
   kNone,
-  // Endpoints have ended under it, or a quarantined request is on trial. It may
-  // be sent, but not a second time for the same call.
+  // Endpoints have crashed while they ran it, or it is a quarantined request on
+  // trial. It may be sent, but only once for the same call.
   kSuspected,
   kQuarantined,
 };
 
 struct RequestJudgement {
   Suspicion suspicion = Suspicion::kNone;
-  // Until a quarantined request may be tried again.
+  // Time until a quarantined request may be tried again.
   Duration retry_after{};
-  // The quarantine has ended, and this call is to show whether it should.
+  // The quarantine has expired, and this call tests whether the request is
+  // safe.
   bool is_trial = false;
 };
 
-// Finds the requests that crash the endpoints that run them, from calls whose
+// Detects requests that crash the endpoints that run them, from calls whose
 // endpoints ended before they answered.
 //
-// A crash breaks all calls that the endpoint has in hand, so each of them is a
-// suspect. The culprit is told from its bystanders by three rules: a request
-// that any endpoint answers is cleared; a quarantine takes several crashes; and
-// a crash that a request with more crashes explains does not count against the
-// others.
+// A crash breaks all calls in flight at the endpoint, so each of them is a
+// suspect. Three rules tell the culprit from the bystanders: a request that any
+// endpoint answers is cleared; a quarantine requires several crashes; and a
+// crash that is explained by a request with more crashes does not count against
+// the others.
 //
-// Pure; memory is bounded by the options.
+// It has no clock, sockets or threads; memory is bounded by the options.
 class CrashLedger {
  public:
   CrashLedger(CrashLedgerOptions options, std::uint64_t seed);
 
-  // A call to the endpoint broke.
+  // Records a broken call to the endpoint and returns the next step.
   SuspectStep Suspect(const CrashSighting& sighting);
-  // Returns the sightings that this confirms.
+  // Confirms that the endpoint's process has ended. Returns the observations
+  // that are confirmed by this.
   std::vector<CrashSighting> Confirm(const EndpointProcess& endpoint);
   void Dismiss(const EndpointProcess& endpoint);
 
-  // A sighting that another host has confirmed. False where it is no news.
+  // Adds an observation confirmed by another host. Returns false if it is
+  // already known, cleared or too old.
   bool Add(const CrashSighting& sighting, TimePoint now);
-  // Returns how many confirmed crashes spoke against the request.
+  // Clears the request. Returns the number of confirmed crashes that counted
+  // against it.
   std::size_t Clear(const ClearedRequest& cleared, TimePoint now);
 
-  // Whether the request may be sent now. Grants a trial where the quarantine
-  // has ended, to one call at a time.
+  // Returns whether the request may be sent now. After the quarantine has
+  // expired, allows one call at a time as a trial.
   RequestJudgement Judge(RequestFingerprint request, TimePoint now);
 
-  // Confirmed crashes under the request, whoever is to blame.
+  // Returns the number of confirmed crashes that involve the request, whichever
+  // request caused them.
   std::size_t CountCrashes(RequestFingerprint request) const;
-  // Whether enough crashes speak against the request and nobody else.
+  // Returns whether enough crashes count against the request that no other
+  // request explains.
   bool IsCulprit(RequestFingerprint request) const;
   std::vector<CrashSighting> SightingsOf(RequestFingerprint request) const;
-  // Requests with `least` confirmed crashes or more, those with most first.
+  // Returns the requests with at least `least` confirmed crashes, in descending
+  // order of crashes.
   std::vector<RequestFingerprint> Suspects(std::size_t least) const;
 
   bool empty() const { return crashes_.empty(); }
@@ -126,7 +136,7 @@
     bool Has(RequestFingerprint request) const;
   };
 
-  // What the confirmed crashes say of one request.
+  // Summary of the confirmed crashes that involve one request.
   struct Record {
     std::size_t crashes = 0;
     TimePoint last_crash;
@@ -135,18 +145,18 @@
   bool IsSuspect(RequestFingerprint request) const {
     return mentions_.contains(request);
   }
-  // This, RemoveSuspect and RemoveCrashes keep `mentions_` in step with the
-  // crashes.
+  // AddSuspect, RemoveSuspect and RemoveCrashes keep `mentions_` consistent
+  // with the crashes.
   void AddSuspect(Crash& crash, RequestFingerprint request);
   bool RemoveSuspect(Crash& crash, RequestFingerprint request);
   template <typename Predicate>
   void RemoveCrashes(Predicate is_removed);
 
   Crash* Find(const EndpointProcess& endpoint, TimePoint at);
-  // Null where there is no room.
+  // Returns null if there is no room.
   Crash* FindOrAdd(const CrashSighting& sighting, bool is_confirmed);
   Record RecordOf(RequestFingerprint request) const;
-  // Crashes that no other request explains better.
+  // Returns the number of crashes that no request with more crashes explains.
   std::size_t CountUnexplained(RequestFingerprint request,
                                std::size_t crashes) const;
   Duration QuarantineAfter(std::size_t crashes) const;
@@ -155,15 +165,15 @@
   void Forget(TimePoint now);
 
   const CrashLedgerOptions options_;
-  // Between 1 and 1.5: hosts end a quarantine at different times, so that the
-  // first trial is over before the next host tries.
+  // Factor between 1 and 1.5 on the quarantine time. It differs between hosts,
+  // so that the first trial is over before the next host tries.
   double stretch_ = 1;
   std::deque<Crash> crashes_;
-  // Crashes that name each suspect. Every request is looked up here while
-  // anything is suspected, and hardly any is found.
+  // Number of crashes for each suspect. While there are suspects, every request
+  // is looked up here, and hardly any is found.
   std::unordered_map<RequestFingerprint, std::size_t> mentions_;
   std::deque<ClearedRequest> cleared_;
-  // When each request was last on trial here.
+  // Time of the last trial of each request on this host.
   std::unordered_map<RequestFingerprint, TimePoint> trials_;
 };
 
--- a/policy/decay.h
+++ b/policy/decay.h
@@ -5,9 +5,10 @@
 
 namespace damasktack {
 
-// The share of a quantity that is left after `age`: 1 at first, about 0.4
-// after one time constant, near 0 after many. Stands in for exp(-x) by the
-// start of its series, because a choice may need it for 510 endpoints.
+// Returns the fraction of a quantity that remains after `age`: 1 at first,
+// about 0.4 after one time constant, near 0 after many. Approximates exp(-x) by
+// the first terms of its series, because one choice may need it for 510
+// endpoints.
 inline double Decay(Duration age, Duration time_constant) {
   if (age <= Duration::zero()) {
     return 1;
@@ -17,7 +18,7 @@
   return 1 / (1 + x + 0.5 * x * x);
 }
 
-// A sum whose terms fade with their age.
+// A sum whose terms decay with their age.
 class DecayingSum {
  public:
   explicit DecayingSum(Duration time_constant)
--- a/policy/ejection.cc
+++ b/policy/ejection.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Sends of the last seconds below which nothing is concluded.
+// Minimum of recent sends, and of recent answers, for a verdict.
 constexpr double kFewestEnds = 4;
 constexpr double kFewestAnswers = 8;
 constexpr double kErrorShare = 0.5;
--- a/policy/ejection.h
+++ b/policy/ejection.h
@@ -10,20 +10,21 @@
 
 namespace damasktack {
 
-// Why an endpoint stands out for the worse; empty where it does not. It is
-// judged against the others, so that nothing stands out in a bad hour of the
-// whole service.
+// Returns why an endpoint is an outlier; empty if it is none. It is compared
+// with the other endpoints, so that none is an outlier while the whole service
+// is degraded.
 std::string_view OutlierReason(const HealthComparison& health);
 
-// How many of `live` endpoints may be out at once. The bound keeps the
-// service from being emptied by a fault in this host's own network, or by
-// callers whose requests fail everywhere but not at the same moment.
+// Returns how many of `live` endpoints may be ejected at the same time. The
+// limit keeps a service usable in case of a fault in this host's own network,
+// or of requests that fail at every endpoint but not at the same moment.
 std::size_t MostEjected(std::size_t live);
 
-// How long an endpoint stays out that was ejected `ejections` times running.
+// Returns how long an endpoint stays ejected after `ejections` ejections in a
+// row.
 Duration EjectionTime(std::int32_t ejections);
 
-// Answers in a row that end a trial.
+// Consecutive answers that complete a trial.
 inline constexpr std::int32_t kTrialAnswers = 3;
 
 }  // namespace damasktack
--- a/policy/endpoint_estimate.cc
+++ b/policy/endpoint_estimate.cc
@@ -8,10 +8,10 @@
 
 namespace {
 
-// An endpoint at work seldom reports one figure three times running. One
-// whose report is frozen does, and, left believed, a low frozen figure would
-// draw every call to it for as long as it lasts. From the third on the report
-// keeps the age of the first, so that the estimate goes to the prior.
+// An endpoint under load seldom reports the same figure three times in a row,
+// but one with a frozen report does. A low frozen figure, if trusted, would
+// attract every call for as long as it lasts. From the third repetition on, the
+// report keeps the age of the first, so that the estimate approaches the prior.
 constexpr std::int32_t kRepeatsBelieved = 1;
 
 }  // namespace
--- a/policy/endpoint_estimate.h
+++ b/policy/endpoint_estimate.h
@@ -8,44 +8,45 @@
 
 namespace damasktack {
 
-// What to think of an endpoint as long as nothing better is known of it.
+// Prior for the load of an endpoint, used as far as no recent report is known.
 struct LoadPrior {
-  // Calls of other hosts by slot, as is usual in the service.
+  // Mean calls of other hosts per slot in the service.
   double others_per_slot = 0;
-  // What a report counts when it comes, from 0 to 1.
+  // Weight of a report on arrival, from 0 to 1.
   double report_weight = 1;
-  // The time after which a report says little: about that in which an
-  // endpoint's slots are taken by other calls.
+  // Time constant with which a report loses its weight: about the time in which
+  // the endpoint's slots pass to other calls.
   Duration relaxation = std::chrono::milliseconds(10);
 };
 
-// One host's estimate of the calls in flight and queued at one endpoint.
+// Estimates, on one host, the calls in flight and queued at one endpoint.
 //
-// It is the host's own calls, which it knows exactly, plus those of the other
-// hosts: the prior, moved towards what the last report left when the own calls
-// were taken off. How far it moves falls as the report grows old. So own sends
-// since the report count at once, and fifteen hosts with the same old report
-// soon stop going by it.
+// The estimate is the sum of the host's own calls, which are known exactly, and
+// the calls of other hosts. The latter are the prior, corrected towards the
+// last report minus the own calls; the correction decays as the report ages. So
+// own sends since the report count at once, and fifteen hosts with the same old
+// report soon stop acting on it.
 class EndpointEstimate {
  public:
   void OnSend() { ++own_in_flight_; }
   void OnEnd() { --own_in_flight_; }
-  // Returns whether the report says anything new.
+  // Returns whether the report contains new information.
   bool OnReport(const EndpointReport& report, TimePoint now);
-  // The endpoint refused a call for want of room: all `slots` are taken,
+  // The endpoint refused a call for lack of room: all `slots` are in use,
   // whatever it reports.
   void OnShed(double slots, TimePoint now);
 
-  // Calls in flight and queued there now; at least the own ones.
+  // Returns the estimated calls in flight and queued there now; at least the
+  // own calls.
   double Calls(const LoadPrior& prior, double slots, TimePoint now) const;
 
   std::int32_t own_in_flight() const { return own_in_flight_; }
-  // All calls as the last report had them; 0 before the first.
+  // Calls in the last report; 0 before the first.
   std::int32_t calls_reported() const { return total_; }
-  // Calls of other hosts as the last report had them.
+  // Calls of other hosts according to the last report.
   double others_reported() const { return others_; }
   bool has_report() const { return has_report_; }
-  // Negative where there was none.
+  // Returns the age of the last report; negative without a report.
   Duration ReportAge(TimePoint now) const;
 
  private:
@@ -55,8 +56,8 @@
   double others_ = 0;
   bool has_report_ = false;
   TimePoint received_at_;
-  // When the report last changed, which tells an endpoint that measures its
-  // load from one that repeats an old figure.
+  // Time of the last change of the reported figure. It distinguishes an
+  // endpoint that measures its load from one that repeats an old figure.
   TimePoint changed_at_;
 };
 
--- a/policy/endpoint_health.cc
+++ b/policy/endpoint_health.cc
@@ -6,18 +6,18 @@
 
 namespace {
 
-// Answers of median time that each endpoint is credited with, so that a few
-// slow ones tell nothing yet.
+// Number of answers of median time credited to each endpoint, so that a few
+// slow answers are not conclusive.
 constexpr double kAnswersCredited = 4;
-// Load by slot that a share of 1 of refused sends stands for.
+// Load per slot added if all sends are refused.
 constexpr double kLoadOfRefusals = 8;
-// An endpoint that is slower than others by less than this is not penalised:
-// kinds of calls differ by more.
+// Slowdown relative to the others below which an endpoint is not penalized:
+// kinds of calls differ by up to this factor.
 constexpr double kSlownessAllowed = 2;
 constexpr double kLoadOfSlowness = 0.5;
 
-// The credit of one send without error keeps a single error from counting as
-// a share of 1.
+// One send without error is added, so that a single error does not count as a
+// fraction of 1.
 double ShareOf(double part, double whole) {
   if (part <= 0 || whole <= 0) {
     return 0;
@@ -43,7 +43,7 @@
 void EndpointHealth::OnEnd(SendResult result,
                            double relative_time,
                            TimePoint now) {
-  // The end of a cancelled send is the caller's doing.
+  // A cancelled send was ended by the caller.
   if (result == SendResult::kCancelled) {
     return;
   }
--- a/policy/endpoint_health.h
+++ b/policy/endpoint_health.h
@@ -7,19 +7,20 @@
 
 namespace damasktack {
 
-// How the sends of the last seconds ended, at one endpoint or in a whole
-// service.
+// Decaying counts of how the sends of the last seconds ended, at one endpoint
+// or in a whole service.
 class EndpointHealth {
  public:
-  // `relative_time` is by the service's median and counts for answers only.
+  // Records the end of a send. `relative_time` is its duration divided by the
+  // service's median and counts for answers only.
   void OnEnd(SendResult result, double relative_time, TimePoint now);
 
-  // Takes the ends of `part` out of a sum that they had gone into.
+  // Subtracts the sends of `part`, which this sum includes.
   void Forget(const EndpointHealth& part, TimePoint now);
 
-  // Whether any send has ended there.
+  // Returns whether any send has ended there.
   bool ever_ended() const { return ever_ended_; }
-  // Sends, weighted by recency.
+  // Number of ended sends, weighted by recency.
   double ends(TimePoint now) const { return ends_.Value(now); }
   double errors(TimePoint now) const { return errors_.Value(now); }
   double refusals(TimePoint now) const {
@@ -39,27 +40,30 @@
   DecayingSum answer_time_{kMemory};
 };
 
-// One endpoint's health against that of the others of its service.
+// Compares one endpoint's health with that of the other endpoints of its
+// service.
 struct HealthComparison {
-  // Recent sends that this host has seen end there.
+  // Recent sends of this host that ended there.
   double ends = 0;
   double answers = 0;
-  // Shares of sends that failed, there and at the others.
+  // Fraction of sends that failed, at the endpoint and at the others.
   double error_share = 0;
   double error_share_of_others = 0;
-  // The same with sheds.
+  // The same, with sheds included.
   double refusal_share = 0;
   double refusal_share_of_others = 0;
-  // Mean time of an answer by that of the others; 1 while little is known.
+  // Mean time of an answer divided by that of the others; 1 while little is
+  // known.
   double slowness = 1;
 
-  // What to add to the endpoint's load by slot. An endpoint that fails fast
-  // or sheds against its report looks idle and would draw every call; while
-  // it does so worse than the others, this makes it look full instead.
+  // Returns the amount to add to the endpoint's load per slot. An endpoint that
+  // fails fast, or sheds although it reports room, looks idle and would attract
+  // every call. While it does so more often than the others, the penalty makes
+  // it look full instead.
   double Penalty() const;
 };
 
-// `service` holds the sends of all endpoints, `endpoint` among them.
+// `service` covers the sends of all endpoints, including `endpoint`.
 HealthComparison Compare(const EndpointHealth& endpoint,
                          const EndpointHealth& service,
                          TimePoint now);
--- a/policy/endpoint_measure.h
+++ b/policy/endpoint_measure.h
@@ -8,42 +8,46 @@
 
 namespace damasktack {
 
-// What is usual among the endpoints of a service, taken where one's own report
-// is old.
+// Averages over the endpoints of a service, used for an endpoint whose own
+// report is old.
 struct MeasurePrior {
   double pace = 1;
-  // Calls in flight and queued, by slot.
+  // Calls in flight and queued, per slot.
   double load = 0.5;
 };
 
-// The last report of one endpoint and what has happened since. How slow work
-// is there and how much of it there is changes within hundreds of milliseconds,
-// so a report counts fully while it is fresh and fades into what is usual.
+// Holds the last report of one endpoint and the events since. The pace and the
+// load of an endpoint change within hundreds of milliseconds, so a report
+// counts fully while it is fresh and then decays towards the averages of the
+// service.
 class EndpointMeasure {
  public:
   void OnReport(const EndpointReport& report, TimePoint now);
   void OnSend() { ++sent_since_; }
-  // A probe was sent, or ended without a report.
+  // Records that a probe was sent (OnProbe) or ended without a report
+  // (OnProbeFailed).
   void OnProbe(TimePoint now) { probe_sent_at_ = now; }
   void OnProbeFailed(TimePoint now);
 
   bool IsFresh(TimePoint now, Duration fresh) const {
     return reported_at_ && now - *reported_at_ <= fresh;
   }
-  // A probe is on its way and not overdue.
+  // Returns whether a probe is pending and has not timed out.
   bool IsPending(TimePoint now, Duration patience) const {
     return probe_sent_at_ && now - *probe_sent_at_ < patience;
   }
   bool HasProbe() const { return probe_sent_at_.has_value(); }
-  // A probe failed, and nothing was heard since.
+  // Returns whether a probe has failed since `earliest` and no report has
+  // arrived after it.
   bool FailedSince(TimePoint earliest) const {
     return failed_at_ && *failed_at_ >= earliest;
   }
 
-  // Estimates for now; `memory` is the time after which a report says little.
+  // Estimates for `now`; `memory` is the time constant with which a report
+  // loses its weight.
   double Pace(const MeasurePrior& prior, Duration memory, TimePoint now) const;
-  // Calls in flight and queued, without those that this host sent before the
-  // report and that have not ended.
+  // Returns the calls in flight and queued, without those that this host sent
+  // before the report and that have not ended.
   double Calls(const MeasurePrior& prior,
                double slots,
                Duration memory,
@@ -52,7 +56,8 @@
   Duration ReportAge(TimePoint now) const {
     return reported_at_ ? now - *reported_at_ : Duration(-1);
   }
-  // Since the last report was asked for: what it says is no older.
+  // Returns the time since the last report was requested, an upper bound on the
+  // age of its data.
   Duration AskedAge(TimePoint now) const {
     return reported_at_ ? now - asked_at_ : Duration(-1);
   }
@@ -61,7 +66,7 @@
   double WeightAt(TimePoint now, Duration memory) const;
 
   std::optional<TimePoint> reported_at_;
-  // Of the last report; set where there is one.
+  // Time of the request for the last report; set if there is a report.
   TimePoint asked_at_;
   std::optional<TimePoint> probe_sent_at_;
   std::optional<TimePoint> failed_at_;
--- a/policy/endpoint_picker.h
+++ b/policy/endpoint_picker.h
@@ -10,8 +10,9 @@
 
 namespace damasktack {
 
-// Chooses an endpoint for one call, or null to let the call wait. Must not
-// allocate. `kName` is what settings, benches and tables call it.
+// Chooses an endpoint for one call, or returns null to let the call wait. Pick
+// must not allocate. `kName` identifies the picker in settings, benchmarks and
+// tables.
 template <typename T>
 concept EndpointPicker = requires(T picker,
                                   const CandidateView& view,
--- a/policy/endpoint_preference.h
+++ b/policy/endpoint_preference.h
@@ -11,29 +11,30 @@
 namespace damasktack {
 
 struct EndpointPreferenceOptions {
-  // Endpoints to which a host turns together: more than enough that some of
-  // one look are neither slow nor full.
+  // Endpoints per preference group: enough that some of one round of probes are
+  // neither slow nor full.
   std::size_t group = 8;
-  // What the parts below cost is by the time of an execution. All of it stays
-  // below what a slow or a full endpoint costs.
-  // An endpoint of the host's zone that is not of its first group.
+  // The costs below are relative to the time of an execution. Their sum stays
+  // below the cost of a slow or a full endpoint. This one applies to an
+  // endpoint in the host's zone outside its first group.
   double later_group = 0.08;
-  // Each group after the second, up to `most_groups` of them.
+  // Added cost of each group after the second, for at most `max_groups` groups.
   double further_group = 0.03;
   std::size_t most_groups = 3;
-  // Another zone: crossing costs bytes that are billed. Above all groups of the
-  // own zone.
+  // Cost of another zone, whose traffic is billed. It exceeds the cost of every
+  // group in the own zone.
   double other_zone = 0.6;
 };
 
-// The order in which one host turns to the endpoints of a service where they
-// are equally free. Each host has its own, by a hash, so that it keeps
-// connections to few endpoints and all of them are used alike.
+// Defines the order in which one host prefers the endpoints of a service that
+// are equally free. Each host has its own order, by a hash, so that it keeps
+// connections to few endpoints while the hosts together use all endpoints
+// equally.
 //
-// The load that it answers: in a burst the first group is full, and a host that
-// then looked at any other endpoint opened a connection to nearly all of its
-// zone, to use each once. With groups it opens those that it opened in the
-// burst before.
+// Made for bursts in which the first group is full: a host that then probed any
+// other endpoint opened a connection to nearly all endpoints of its zone and
+// used each of them once. With groups it reuses the connections of the previous
+// burst.
 class EndpointPreference {
  public:
   struct Choice {
@@ -45,16 +46,17 @@
   explicit EndpointPreference(EndpointPreferenceOptions options = {})
       : options_(options) {}
 
-  // Draws the order anew for these endpoints, out of `size` indexes; one that
-  // is added or removed moves others by one place at most.
+  // Recomputes the order of these endpoints, out of `size` indexes. Adding or
+  // removing an endpoint moves each of the others by at most one position.
   void Draw(const HostId& host,
             const std::vector<Choice>& choices,
             std::size_t size);
 
-  // What choosing the endpoint costs, by the time of an execution.
+  // Returns the cost of choosing the endpoint, relative to the time of an
+  // execution.
   double Cost(EndpointIndex index) const { return places_[index].cost; }
-  // Whether it is in the first group of its zone or in that of other zones.
-  // Each endpoint is so for some hosts of a fleet.
+  // Returns whether the endpoint is in the first group of its zone or of the
+  // other zones. Every endpoint is in the first group of some hosts of a fleet.
   bool IsFirst(EndpointIndex index) const { return places_[index].is_first; }
 
  private:
--- a/policy/endpoint_process.h
+++ b/policy/endpoint_process.h
@@ -6,7 +6,7 @@
 
 namespace damasktack {
 
-// One process of an endpoint.
+// Identifies one process of an endpoint.
 struct EndpointProcess {
   EndpointId id;
   EndpointStart started_at{};
--- a/policy/endpoint_record.h
+++ b/policy/endpoint_record.h
@@ -11,42 +11,43 @@
 
 namespace damasktack {
 
-// What a host keeps for one endpoint and every choice reads; the published
-// spec with its strings is kept apart.
+// State of one endpoint that every choice reads. The published spec with its
+// strings is kept separately.
 struct EndpointRecord {
   EndpointState state = EndpointState::kStarting;
-  // Why it is in the state.
+  // Reason for the current state.
   std::string_view reason = "new";
   TimePoint state_since;
 
   EndpointEstimate estimate;
   EndpointHealth health;
-  // By the list and the reports; the lower counts.
+  // The lower of the slots in the list and in the reports.
   double slots = 1;
-  // Load by slot added for poor health, as of the last refresh.
+  // Load per slot added for poor health, as of the last refresh.
   double penalty = 0;
   bool other_zone = false;
 
-  // Ejections in a row, the time after which a trial begins, and answers in
-  // the trial.
+  // Consecutive ejections, the time at which the next trial begins, and the
+  // answers in the trial.
   std::int32_t ejections = 0;
   TimePoint ejected_until;
   std::int32_t trial_answers = 0;
 
   bool listed = true;
-  // The list says that it leaves, or that its zone is drained; no report takes
-  // that back.
+  // The list states that the endpoint is leaving or that its zone is drained;
+  // reports do not override this.
   bool listed_as_leaving = false;
-  // It said itself that it drains, last at the time given.
+  // The endpoint reported that it is draining, the last time at
+  // `drain_reported_at`.
   bool drain_reported = false;
   TimePoint drain_reported_at;
 
-  // It said that it leaves; nothing takes that back.
+  // The endpoint announced that it is leaving; this is final for the process.
   bool said_leaving = false;
 
   bool probe_pending = false;
   TimePoint probe_sent_at;
-  // Its want of a probe has been counted as withheld.
+  // A probe that it needed has been counted as withheld.
   bool probe_withheld = false;
 };
 
--- a/policy/endpoint_report.h
+++ b/policy/endpoint_report.h
@@ -10,22 +10,23 @@
 
 enum class EndpointMode : std::uint8_t { kStarting, kServing, kDraining };
 
-// What an endpoint says of itself, on an answer or when probed. Already old
-// when it arrives, and not always true.
+// State that an endpoint reports of itself, in an answer to a call or to a
+// probe. It is outdated on arrival and may be wrong.
 struct EndpointReport {
-  // When this host learned it, by this host's clock.
+  // Time at which this host received it, by this host's clock.
   TimePoint received_at;
-  // How long before that it was asked for. The endpoint counted in between.
+  // Time from the request for the report to its arrival. The endpoint took the
+  // figures in between.
   Duration asked_before{};
-  // Calls being worked on, from every host.
+  // Calls being executed, from all hosts.
   std::int32_t in_flight = 0;
   // Calls accepted and waiting for a slot there.
   std::int32_t queued = 0;
   std::int32_t slots = 1;
   EndpointMode mode = EndpointMode::kServing;
-  // How long work takes there at the moment, by the usual time.
+  // Current execution time divided by the usual one.
   double pace = 1;
-  // How much longer it stays cold; null where it does not say.
+  // Remaining time for which the endpoint stays cold; null if not stated.
   std::optional<Duration> cold_for;
 };
 
--- a/policy/endpoint_restraints.cc
+++ b/policy/endpoint_restraints.cc
@@ -9,12 +9,12 @@
 
 namespace {
 
-// The part of a limit that hosts share out: draws of different hosts fall
-// together now and then.
+// Fraction of a limit that is divided among the hosts: the random draws of
+// different hosts coincide now and then.
 constexpr double kSharedOut = 0.5;
-// Requests a second that all hosts together send at least. An endpoint that
-// takes none at all would never be asked again, and nobody would learn that its
-// limit is gone.
+// Lower bound on the requests a second of all hosts together. An endpoint with
+// a limit of zero would otherwise never get a request again, and no host would
+// learn that the limit has ended.
 constexpr double kLeastRate = 0.1;
 
 }  // namespace
@@ -27,9 +27,9 @@
       SharedRate(XXH3_64bits(names.data(), names.size()));
 }
 
-// An answer without a limit takes it back only where its request went out after
-// the limit was stated: of answers that are under way together either may be
-// read first.
+// An answer without a limit withdraws it only if its request was sent after the
+// limit was stated: answers that are in flight together may be read in any
+// order.
 void EndpointRestraints::OnAnswer(EndpointIndex index,
                                   const EndpointSignals& signals,
                                   TimePoint asked_at,
--- a/policy/endpoint_restraints.h
+++ b/policy/endpoint_restraints.h
@@ -14,33 +14,38 @@
 
 namespace damasktack {
 
-// What the endpoints of a service have asked of their callers, and whether one
-// host may send them a request now. Pure.
+// Tracks the limits that the endpoints of a service have stated, and decides
+// whether one host may send them a request now. It has no clock, sockets or
+// threads.
 //
-// The load that it answers: an endpoint in need takes a few requests a second
-// from all hosts together and says so in its answers, while it looks as free as
-// any other. Each host keeps to its part, by the size of the fleet. One that
-// refuses a request may ask its host for rest, and gets nothing meanwhile.
+// Made for an overloaded endpoint that accepts only a few requests a second
+// from all hosts together. It states this in its answers, while it looks as
+// free as any other. Each host keeps to its share, by the size of the fleet. An
+// endpoint that refuses a request may ask the host to pause and gets no
+// requests meanwhile.
 class EndpointRestraints {
  public:
   explicit EndpointRestraints(const HostId& host) : host_(host) {}
 
-  // `hosts` is the number of entry hosts as this one believes.
+  // `hosts` is this host's count of the entry hosts.
   void SetService(std::size_t endpoints, std::int64_t hosts, TimePoint now) {
     fleet_.Set(hosts, endpoints, now);
   }
-  // A process that was not known before has the index now.
+  // A new process now has the index.
   void OnAdded(EndpointIndex index, const EndpointId& id);
-  // `asked_at` is when the request was sent to which this is the answer.
+  // Applies the signals of an answer. `asked_at` is the time at which the
+  // answered request was sent.
   void OnAnswer(EndpointIndex index,
                 const EndpointSignals& signals,
                 TimePoint asked_at,
                 TimePoint now);
-  // The same for the answer to a probe, which may say less than one to a call.
+  // The same for the answer to a probe. It may lack signals that an answer to a
+  // call has.
   void OnProbeAnswer(EndpointIndex index,
                      const EndpointSignals& signals,
                      TimePoint now);
-  // Another host was told of the limit, or of its end, at `stated_at`.
+  // Applies news from another host, to which the endpoint stated the limit, or
+  // its end, at `stated_at`.
   void OnHeard(EndpointIndex index,
                std::optional<double> rate_limit,
                TimePoint stated_at);
@@ -49,18 +54,21 @@
   }
 
   bool MayTakeOne(EndpointIndex index, TimePoint now) const;
-  // Whether it wants neither calls nor probes now.
+  // Returns whether the endpoint has asked for a pause that has not ended: it
+  // wants neither calls nor probes.
   bool IsResting(EndpointIndex index, TimePoint now) const {
     return now < restraints_[index].rest_until;
   }
-  // From when on MayTakeOne holds; `latest` where not before.
+  // Returns the first time at which the endpoint can accept a call; `latest` if
+  // that is not earlier.
   TimePoint OpensAt(EndpointIndex index, TimePoint now, TimePoint latest) const;
-  // The earliest OpensAt of the endpoints; null without any.
+  // Returns the earliest AvailableAt of the endpoints; null if there are none.
   std::optional<TimePoint> FirstOpening(
       std::span<const EndpointIndex> endpoints,
       TimePoint now,
       TimePoint latest) const;
-  // Requests a second from all hosts; null without a limit.
+  // Returns the limit in requests a second from all hosts; null without a
+  // limit.
   std::optional<double> rate_limit(EndpointIndex index) const {
     return restraints_[index].rate_limit;
   }
@@ -68,13 +76,13 @@
  private:
   struct Restraint {
     std::optional<double> rate_limit;
-    // When the limit was last stated, or taken back.
+    // Time at which the limit was last stated or withdrawn.
     TimePoint limit_stated_at;
     SharedRate schedule;
     TimePoint rest_until;
   };
 
-  // This host's part of a limit, in requests a second.
+  // This host's share of a limit, in requests a second.
   double Share(double rate_limit, TimePoint now) const;
 
   HostId host_;
--- a/policy/endpoint_roster.cc
+++ b/policy/endpoint_roster.cc
@@ -10,16 +10,17 @@
 
 namespace {
 
-// An answer written before the endpoint began to drain may arrive after one
-// that says so. Believed, it would bring new calls to an endpoint that is
-// about to stop; answers in flight are far younger than this.
+// Time for which a reported drain overrides later reports of another mode. An
+// answer written before the drain may arrive after the one that reports it; if
+// trusted, it would bring new calls to an endpoint that is about to stop.
+// Answers in flight are far younger than this.
 constexpr Duration kDrainHolds = std::chrono::seconds(2);
 
-// How often penalties fade without an end of a send.
+// Interval at which penalties are refreshed if no send ends.
 constexpr Duration kRefreshTime = std::chrono::milliseconds(100);
 
-// Whether the end of a send says anything of the endpoint's health: the
-// caller cancels, and an endpoint that sheds is only full.
+// Returns whether the end of a send is evidence of the endpoint's health. A
+// cancelled send is not, nor is a shed: the endpoint is only full.
 bool TellsOfHealth(SendResult result) {
   return result != SendResult::kCancelled && result != SendResult::kShed;
 }
@@ -131,9 +132,9 @@
     OnTrialEnd(index, result, now);
     return;
   }
-  // An endpoint that sends no reports shows by an answer that it serves. Not
-  // one that leaves: the answers to calls that were under way when it began to
-  // would bring it new ones until it stops.
+  // An answer shows that an endpoint without reports serves. This does not hold
+  // for a leaving endpoint: answers to calls that were in flight when it began
+  // to leave would bring it new calls until it stops.
   const bool leaves =
       record.listed_as_leaving || record.drain_reported || record.said_leaving;
   if (result == SendResult::kAnswered && !record.estimate.has_report() &&
@@ -184,7 +185,8 @@
   ++record.ejections;
   record.ejected_until = now + EjectionTime(record.ejections);
   next_change_ = std::min(next_change_, record.ejected_until);
-  // A trial that fails may do so after others have left.
+  // Other endpoints may have left during the failed trial, which lowers the
+  // limit of ejections.
   KeepCeiling(now);
 }
 
@@ -230,8 +232,8 @@
   }
 }
 
-// Endpoints that leave lower the ceiling; those that have been out longest
-// go on trial then.
+// Keeps the number of ejected endpoints within the limit, which falls when
+// endpoints leave. Those that have been ejected longest go on trial first.
 void EndpointRoster::KeepCeiling(TimePoint now) {
   const std::size_t most = MostEjected(CountLive());
   while (CountIn(EndpointState::kEjected) > most) {
@@ -265,7 +267,7 @@
   record.state_since = now;
   record.reason = reason;
   if (record.state == EndpointState::kTrial) {
-    // What led to the ejection says nothing of the trial.
+    // The sends before the ejection are no evidence for the trial.
     ForgetHealth(record, now);
     record.trial_answers = 0;
   }
--- a/policy/endpoint_roster.h
+++ b/policy/endpoint_roster.h
@@ -15,58 +15,60 @@
 
 namespace damasktack {
 
-// The endpoints of one service with the states that a host has them in:
-// list, reports and ends of sends lead from one to another by the chart.
+// Tracks the state of each endpoint of one service, as seen by one host. The
+// list, reports and the ends of sends cause transitions, which the state chart
+// defines.
 class EndpointRoster {
  public:
-  // Puts a new endpoint in. One that is `taken_as_warm` serves at once: a
-  // host that has just started knows nothing, but the endpoints are not new.
+  // Adds a new endpoint. With `taken_as_warm` it serves at once: a host that
+  // has just started knows no endpoint, but the endpoints are not new.
   EndpointIndex Add(bool taken_as_warm, TimePoint now);
-  // What the list says of an endpoint, and that it says nothing any more.
+  // Applies an endpoint's entry in the published list, or its removal.
   void OnListed(EndpointIndex index, const EndpointSpec& spec, TimePoint now);
   void OnUnlisted(EndpointIndex index, TimePoint now);
 
   void OnReportedMode(EndpointIndex index, EndpointMode mode, TimePoint now);
-  // It has said itself that it leaves.
+  // The endpoint has announced that it is leaving.
   void OnLeaving(EndpointIndex index, TimePoint now);
-  // Another endpoint has its address: this one is gone, though the list does
-  // not say so yet. Only a later report of its own brings it back.
+  // Another endpoint has its address: this one is gone, although the list does
+  // not state it yet. Only a later report of its own restores it.
   void OnMisdirected(EndpointIndex index, TimePoint now);
-  // A send ended; `relative_time` is by the service's median.
+  // Records the end of a send. `relative_time` is its duration divided by the
+  // service's median.
   void OnSendEnd(EndpointIndex index,
                  SendResult result,
                  double relative_time,
                  TimePoint now);
-  // Makes the changes whose time has come. Cheap where there is none.
+  // Applies the transitions that are due. Cheap if none is.
   void Advance(TimePoint now);
 
   EndpointRecord& record(EndpointIndex index) { return records_[index]; }
   std::span<const EndpointRecord> records() const { return records_; }
   std::span<EndpointRecord> records() { return records_; }
-  // Those that take calls.
+  // Returns the endpoints that take calls.
   std::span<const EndpointIndex> usable() const {
     RecountIfDue();
     return usable_;
   }
-  // The slots of those, together.
+  // Returns the total slots of the usable endpoints.
   double usable_slots() const {
     RecountIfDue();
     return usable_slots_;
   }
-  // After a record's slots have changed. What was counted is counted anew when
-  // it is next asked for, so that a list costs one count and not one for each
-  // endpoint in it.
+  // Must be called after a record's slots have changed. The totals are
+  // recomputed on their next use, so that applying a list costs one recount and
+  // not one for each endpoint.
   void Recount() { is_recount_due_ = true; }
-  // Counts so far.
+  // Returns the number of recounts so far.
   std::uint64_t recounts() const { return recounts_; }
 
-  // Steps of endpoints out of the service for failing, and back into it, since
-  // the last call. `specs` names the endpoints by index.
+  // Returns the ejections and returns of endpoints since the last call. `specs`
+  // holds the endpoints' specs by index.
   std::vector<EndpointChange> TakeChanges(
       const std::vector<EndpointSpec>& specs);
 
  private:
-  // Whether the chart has an arrow for the event.
+  // Applies the event. Returns whether the chart defines a transition for it.
   bool Follow(EndpointIndex index,
               EndpointEvent event,
               std::string_view reason,
@@ -84,22 +86,22 @@
     return in_state_[static_cast<std::size_t>(state)];
   }
   void Move(EndpointIndex index, EndpointState to);
-  // The lowest place of one that is gone and that nothing can refer to any
-  // more, else a new one.
+  // Returns the lowest index of an endpoint that is gone and that nothing
+  // refers to, or a new index.
   EndpointIndex TakePlace();
   void RecountIfDue() const;
 
   std::vector<EndpointRecord> records_;
-  // Of the records, by state.
+  // Number of records in each state.
   std::array<std::size_t, kEndpointStateCount> in_state_{};
   std::set<EndpointIndex> gone_;
   mutable bool is_recount_due_ = false;
   mutable std::uint64_t recounts_ = 0;
   mutable std::vector<EndpointIndex> usable_;
   mutable double usable_slots_ = 0;
-  // The ends of all sends, whichever the endpoint.
+  // Ends of the sends to all endpoints.
   EndpointHealth service_health_;
-  // The next time at which a state changes by itself.
+  // Time of the next transition that is due without an event.
   TimePoint next_change_ = TimePoint::max();
   TimePoint next_refresh_;
   struct Change {
--- a/policy/endpoint_signals.h
+++ b/policy/endpoint_signals.h
@@ -7,15 +7,15 @@
 
 namespace damasktack {
 
-// What an endpoint's answer says of the requests that it wants, beside its
-// load.
+// Flow control signals in an endpoint's answer, besides its load.
 struct EndpointSignals {
-  // Requests a second that it takes from all hosts together; null where the
-  // answer states no limit.
+  // Limit in requests a second from all hosts together; null if the answer
+  // states none.
   std::optional<double> rate_limit = std::nullopt;
-  // It wants no request from this host for so long.
+  // The endpoint asks this host to send no request for this long.
   std::optional<Duration> rest = std::nullopt;
-  // It is leaving: no further call, and only another process comes back.
+  // The endpoint is leaving: it takes no further calls, and only a new process
+  // may return.
   bool leaving = false;
 
   bool operator==(const EndpointSignals&) const = default;
--- a/policy/endpoint_state.h
+++ b/policy/endpoint_state.h
@@ -10,19 +10,19 @@
 
 namespace damasktack {
 
-// States of one endpoint as one host sees it; policy/charts/endpoint.json
-// says what leads where.
+// States of one endpoint as seen by one host; policy/charts/endpoint.json
+// defines the transitions.
 enum class EndpointState : std::uint8_t {
-  // New, or by its own word not yet warm: one call at a time.
+  // New, or reported by itself as not ready: one call at a time.
   kStarting,
-  // Takes a part of its calls that grows.
+  // Slow start: takes a growing share of its calls.
   kWarming,
   kServing,
-  // Fails or is slow by comparison: no calls for a while.
+  // Fails or is slow compared with the others: no calls for a while.
   kEjected,
-  // Single calls show whether it may return.
+  // Single calls test whether it may return to service.
   kTrial,
-  // Leaves, by the list or by its own word: no new calls.
+  // Leaving, according to the list or to itself: no new calls.
   kDraining,
   kGone,
 };
@@ -54,10 +54,11 @@
 
 using EndpointChart = BoundChart<EndpointState, EndpointEvent>;
 
-// The chart that the binary carries, bound at the first call.
+// Returns the state chart that is embedded in the binary; it is bound at the
+// first call.
 const EndpointChart& GetEndpointChart();
 
-// Whether calls may be sent there at all.
+// Returns whether an endpoint in this state may be sent calls.
 constexpr bool TakesCalls(EndpointState state) {
   return state == EndpointState::kStarting ||
          state == EndpointState::kWarming || state == EndpointState::kServing ||
--- a/policy/endpoint_status.h
+++ b/policy/endpoint_status.h
@@ -11,23 +11,23 @@
 
 namespace damasktack {
 
-// One endpoint as the administration API shows it.
+// State of one endpoint, as the administration API shows it.
 struct EndpointStatus {
   EndpointId id;
   ZoneId zone;
   std::string state;
-  // Why it is in that state.
+  // Reason for the current state.
   std::string reason;
   std::int32_t own_in_flight = 0;
   double estimated_in_flight = 0;
   std::int32_t slots = 1;
-  // Age of the last report; negative where there was none.
+  // Age of the last report; negative without a report.
   Duration report_age{-1};
-  // Requests a second from all hosts that it has stated as its limit.
+  // Limit that the endpoint has stated, in requests a second from all hosts.
   std::optional<double> rate_limit = std::nullopt;
 };
 
-// An endpoint was taken out for failing, or let back.
+// An endpoint was ejected for failing, or returned from an ejection or a trial.
 struct EndpointChange {
   EndpointId endpoint;
   std::string from;
@@ -39,9 +39,9 @@
   std::vector<EndpointStatus> endpoints;
   std::uint64_t probes_sent = 0;
   std::uint64_t probe_bytes = 0;
-  // Probes that would have been of use and had no budget.
+  // Probes that were needed but exceeded the budget.
   std::uint64_t probes_withheld = 0;
-  // What the budget allows this host.
+  // This host's share of the probe budget.
   double probes_per_second = 0;
 };
 
--- a/policy/endpoint_table.cc
+++ b/policy/endpoint_table.cc
@@ -12,12 +12,12 @@
 
 namespace {
 
-// What a probe and its answer take on the wire, as counted against the
-// budget in bytes.
+// Bytes of a probe and its answer on the wire, as counted in the status.
 constexpr std::uint64_t kProbeBytes = 256;
-// More than this and a full near endpoint would go before a free far one.
+// Upper bound: above it, a full near endpoint would be preferred to a free one
+// in another zone.
 constexpr double kMostZoneCost = 1;
-// A service without calls for this long needs no fresh reports.
+// Time without calls after which a service needs no fresh reports.
 constexpr Duration kBusyTime = std::chrono::seconds(1);
 
 }  // namespace
@@ -85,8 +85,9 @@
   return std::min(cost, kMostZoneCost);
 }
 
-// Each endpoint counts once, however often it reports: a busy one answers and
-// so reports more often, and would make the service look fuller than it is.
+// Each endpoint counts once, however often it reports: a busy endpoint sends
+// more answers, and so more reports, and would make the service look fuller
+// than it is.
 double EndpointTable::OthersPerSlot() const {
   double others = 0;
   double slots = 0;
@@ -105,10 +106,10 @@
   return norm_.Prior(own, now);
 }
 
-// Calls on the way count as in flight here but take no slot yet, so the part
-// is larger by the way's share of an execution. Rounded up for a call that may
-// take the last slot: with fewer slots than hosts, parts rounded down would
-// leave slots idle while calls wait.
+// Calls in transit count as in flight on this host but use no slot yet, so the
+// share is enlarged by the transit time relative to an execution. It is rounded
+// up for a call that may take the last slot: with fewer slots than hosts,
+// shares rounded down would leave slots idle while calls wait.
 bool EndpointTable::IsBelowOwnPart(double most_load) const {
   const double part = (1 + ZoneCost()) * most_load * roster_.usable_slots() /
                       static_cast<double>(hosts_);
--- a/policy/endpoint_table.h
+++ b/policy/endpoint_table.h
@@ -22,56 +22,58 @@
 namespace damasktack {
 
 struct EndpointTableOptions {
-  // Zone of this host.
+  // Availability zone of this host.
   ZoneId zone;
-  // One-way time to another zone.
+  // One-way network latency to another zone.
   Duration zone_distance = std::chrono::milliseconds(1);
-  // One of PickerNames(); an unknown name means the chosen picker.
+  // One of PickerNames(); an unknown name selects the production picker.
   std::string_view picker = ChosenPicker::kName;
-  // This host.
+  // Id of this host.
   HostId host = {};
 };
 
-// What a call needs of its endpoint.
+// Requirements of a call for its endpoint.
 struct PickRequest {
   Urgency urgency = Urgency::kNormal;
-  // The estimated load (in flight and queued, by slots) must stay below this
-  // after the send; above 1 the call would wait at the endpoint.
+  // Upper bound on the estimated load (calls in flight and queued, per slot)
+  // including this call; above 1 the call would wait at the endpoint.
   double most_load = 1.0;
-  // Not this one where another will do: the call has just failed there.
+  // Endpoint to avoid if there is another: the call has just failed there.
   std::optional<EndpointIndex> avoid;
 };
 
-// The endpoints of one service as one host sees them: estimates from late
-// reports, choice, measuring within its budget, ejection and recovery. Pure.
+// The endpoints of one service, as seen by one host: load estimates from
+// delayed reports, the choice of an endpoint, probes within their budget,
+// ejection and recovery. It has no clock, sockets or threads.
 class EndpointTable {
  public:
   explicit EndpointTable(EndpointTableOptions options);
 
-  // Follows the published list; indexes of endpoints that stay are kept.
+  // Applies the published list; endpoints that stay listed keep their index.
   // `hosts` is the number of entry hosts that share the endpoints.
   void SetService(const ServiceSpec& service,
                   std::int64_t hosts,
                   TimePoint now);
 
-  // Null where no endpoint has the room asked for, unless the host holds
-  // less than its own part of the slots (most_load of them, by `hosts`, and
-  // at least one call): then some endpoint is always given.
+  // Returns null if no endpoint has the required room, unless the host uses
+  // less than its fair share of the slots: max_load of all slots divided by
+  // `hosts`, and at least one call. In that case it always returns an endpoint.
   std::optional<EndpointIndex> Pick(const PickRequest& request,
                                     TimePoint now,
                                     Random& random);
-  // Whether there is any endpoint that may ever be picked as things stand.
+  // Returns whether any endpoint may be chosen at present.
   bool AnyUsable(TimePoint now) const;
-  // When the first endpoint takes a call by what the endpoints have asked for;
-  // `latest` where none does before, null without a usable endpoint.
+  // Returns the first time at which the stated limits allow a call to some
+  // endpoint; `latest` if that is not earlier, null without a usable endpoint.
   std::optional<TimePoint> OpensAt(TimePoint now, TimePoint latest) const;
-  // Estimated slots that are free over all usable endpoints, and their sum.
+  // Estimated free slots over all usable endpoints, and the total of their
+  // slots.
   double FreeSlots(TimePoint now) const;
   double UsableSlots(TimePoint now) const;
-  // Typical time of one execution, from answers; zero before the first.
+  // Typical time of one execution, learned from answers; zero before the first.
   Duration TypicalServiceTime() const;
 
-  // A call is sent to a picked endpoint, and ends there.
+  // Records that a call was sent to a chosen endpoint, and that it ended there.
   void OnSend(EndpointIndex endpoint, TimePoint now);
   void OnEnd(EndpointIndex endpoint,
              SendResult result,
@@ -81,7 +83,8 @@
                 const EndpointReport& report,
                 TimePoint now);
 
-  // The endpoint's answer to a call, sent at `asked_at`, or to a probe.
+  // Apply the signals in the endpoint's answer to a call, sent at `asked_at`,
+  // or to a probe.
   void OnSignals(EndpointIndex endpoint,
                  const EndpointSignals& signals,
                  TimePoint asked_at,
@@ -103,12 +106,12 @@
                      std::optional<double> rate_limit,
                      TimePoint stated_at);
 
-  // Another host has seen the endpoint drain.
+  // Handles news from another host that the endpoint is draining.
   void OnHeardDrain(const EndpointId& id, TimePoint now);
 
-  // The next endpoint worth a probe, if the budget allows one now.
+  // Returns the next endpoint to probe, if the budget allows a probe now.
   std::optional<EndpointIndex> NextProbe(TimePoint now);
-  // A probe that was sent brought no report.
+  // Handles a probe that was sent and returned no report.
   void ProbeFailed(EndpointIndex endpoint, SendResult result, TimePoint now);
 
   const EndpointSpec& endpoint(EndpointIndex index) const;
@@ -127,19 +130,20 @@
   }
   std::optional<EndpointIndex> Find(const EndpointSpec& spec) const;
   void TakeIn(const EndpointSpec& spec, bool taken_as_warm, TimePoint now);
-  // The way to another zone and back, by the time of an execution: as much as
-  // the load by slot would have to differ to make up for it.
+  // Returns the round trip to another zone, relative to the time of an
+  // execution. This is the difference in load per slot that outweighs the round
+  // trip.
   double ZoneCost() const;
-  // Calls of other hosts by slot, as the last reports of all usable endpoints
-  // had them together.
+  // Calls of other hosts per slot, summed over the last reports of all usable
+  // endpoints.
   double OthersPerSlot() const;
   LoadPrior Prior(TimePoint now) const;
   bool IsBelowOwnPart(double most_load) const;
   bool TakesOne(EndpointIndex index, TimePoint now) const {
     return restraints_.MayTakeOne(index, now);
   }
-  // Those of the usable endpoints that take a call now; `buf` holds them where
-  // not all do.
+  // Returns the usable endpoints that accept a call now. They are stored in
+  // `buf` unless all of them do.
   std::span<const EndpointIndex> Open(TimePoint now,
                                       std::vector<EndpointIndex>& buf) const;
   EndpointStatus StatusOf(EndpointIndex index, TimePoint now) const;
--- a/policy/execution_profile.cc
+++ b/policy/execution_profile.cc
@@ -9,13 +9,14 @@
 
 namespace {
 
-// Moves by a small step towards each answer, and so towards their median: a
-// mean would follow the few that took several times as long.
+// Relative step towards each sample. With steps of fixed size the estimate
+// follows the median; a mean would follow the few executions that take several
+// times as long.
 constexpr double kStep = 0.03;
-// The first quarter of the slots whose slowdown is learnt.
+// Index of the first quarter of the slots whose slowdown is learned.
 constexpr std::size_t kFirstLearnt = 2;
-// No server is believed to slow down by more; what goes beyond moves the usual
-// time, as it does where an endpoint has a single slot.
+// Upper bound on the slowdown of a server. Longer executions change the usual
+// time instead, as they do at endpoints with a single slot.
 constexpr double kMostSlowdown = 4;
 
 double StepTowards(double value, double sample) {
--- a/policy/execution_profile.h
+++ b/policy/execution_profile.h
@@ -8,28 +8,29 @@
 
 namespace damasktack {
 
-// How long executions of one service take, by how full the endpoint is when
-// one begins.
+// Learns how long executions of one service take, depending on how full the
+// endpoint is when they begin.
 //
-// The load that it answers: many servers work at their pace until they are
-// nearly full and then slow down for good, each further call the more. A
-// balancer that takes the slowdown for smaller fills the near endpoints up
-// while others, a millisecond away, have one call.
+// Made for servers that keep a constant speed until they are nearly full, and
+// then slow down permanently with each further call. A balancer that
+// underestimates the slowdown fills the near endpoints while others, a
+// millisecond away, have a single call.
 class ExecutionProfile {
  public:
-  // Before the first answer an execution is taken for this long.
+  // Sets the assumed execution time until the first answer.
   void Guess(Duration usual);
   bool is_known() const { return usual_ > Duration::zero(); }
 
-  // An execution took `took` by the usual pace; it began when `fill` of the
-  // endpoint's slots, its own included, were in use. Above 1 where calls
-  // waited in a queue; those tell nothing here.
+  // Records an execution that took `took` at an endpoint of usual pace. At its
+  // start, `fill` of the endpoint's slots were in use, including its own.
+  // Executions with `fill` above 1 waited in a queue and are ignored.
   void OnExecution(double fill, Duration took);
 
-  // At an endpoint that is hardly used.
+  // Returns the execution time at an endpoint that is hardly used.
   Duration usual() const { return usual_; }
-  // How much longer it takes when that part of the slots is in use, this one
-  // included; 1 or more, and never less for a larger part.
+  // Returns the factor by which an execution takes longer if this fraction of
+  // the slots is in use, including its own. It is at least 1 and does not
+  // decrease with `fill`.
   double Slowdown(double fill) const;
 
  private:
@@ -37,8 +38,8 @@
   static std::size_t PartOf(double fill);
 
   Duration usual_{};
-  // By quarter of the slots. The first two are 1 by definition: they are what
-  // is usual.
+  // Slowdown by quarter of the slots in use. The first two are 1 by definition,
+  // since they define the usual time.
   std::array<double, kParts> slowdown_ = {1, 1, 1, 1.15};
 };
 
--- a/policy/execution_time.cc
+++ b/policy/execution_time.cc
@@ -15,14 +15,15 @@
                            Duration way,
                            const std::optional<EndpointReport>& report) {
   if (report) {
-    // A call that comes after the reported ones waits until enough of them
-    // have ended to leave a slot free.
+    // A call that arrives after the reported ones waits until enough of them
+    // have ended to free a slot.
     const int ends = report->in_flight + report->queued - report->slots + 1;
     const double by_slot = static_cast<double>(std::max(ends, 0)) /
                            static_cast<double>(std::max(report->slots, 1));
     ends_by_slot_ += (by_slot - ends_by_slot_) * kSampleWeight;
   }
-  // A busy endpoint ends as many calls in a mean execution as it has slots.
+  // A busy endpoint completes as many calls as it has slots within one mean
+  // execution time.
   const double wait = ends_by_slot_ * mean_;
   const auto whole = static_cast<double>(took.count());
   const double rest = whole - static_cast<double>(way.count()) - wait;
--- a/policy/execution_time.h
+++ b/policy/execution_time.h
@@ -8,20 +8,21 @@
 
 namespace damasktack {
 
-// Estimates for how long a call held its endpoint's slot. A host sees the
-// whole send: way there, wait in the endpoint's queue, execution, way back.
-// Charging customers for all of that favours those with long calls, since
-// the wait is the same for everyone.
+// Estimates how long a call held its endpoint's slot. A host sees the whole
+// send: transit, the wait in the endpoint's queue, the execution, and transit
+// back. Charging customers for all of it would favor those with long calls,
+// since the wait is the same for all.
 class ExecutionTime {
  public:
-  // `took` is the whole send, `way` the time there and back. Never below a
-  // tenth of `took`, whatever the endpoint reports.
+  // Returns the estimated time in the slot. `took` is the duration of the send,
+  // `way` the round-trip time. The result is at least a tenth of `took`,
+  // whatever the endpoint reports.
   Duration Of(Duration took,
               Duration way,
               const std::optional<EndpointReport>& report);
 
  private:
-  // Ends that a new call waits for before it gets a slot, for each slot.
+  // Calls that must end before a new call gets a slot, per slot.
   double ends_by_slot_ = 0;
   double mean_ = 0;
 };
--- a/policy/fair_queue.cc
+++ b/policy/fair_queue.cc
@@ -6,11 +6,12 @@
 
 namespace {
 
-// Weight of one more sample in a mean cost.
+// Weight of a new sample in a mean cost.
 constexpr double kSampleWeight = 1.0 / 16;
-// Cost of a call before any has been measured; only ratios matter.
+// Cost of a call before the first sample; only ratios matter.
 constexpr double kFirstCost = 1.0;
-// Customers whose costs are kept; beyond, all are learned anew.
+// Limit on the customers whose costs are kept; beyond it, all costs are
+// discarded.
 constexpr std::size_t kMostCosts = 4096;
 
 void Blend(double& mean, double sample) {
@@ -52,8 +53,8 @@
   flow.customer = customer;
   flow.share = static_cast<double>(share);
   if (flow.calls.empty()) {
-    // Time that a customer did not use is not saved up: it starts level with
-    // whoever is served now.
+    // Unused time is not saved up: a customer that returns starts at the
+    // current virtual time.
     flow.tag = std::max(flow.tag, virtual_time_);
     flow.order = next_order_++;
   }
@@ -92,7 +93,8 @@
 
 void FairQueue::ForgetIdle() {
   if (size_ == 0) {
-    // Nobody competes any more, so no debt is left to be held against anyone.
+    // No customer is competing, so the virtual time that customers have used in
+    // advance is discarded.
     flows_.clear();
     idle_.clear();
     virtual_time_ = 0;
--- a/policy/fair_queue.h
+++ b/policy/fair_queue.h
@@ -14,38 +14,40 @@
 
 namespace damasktack {
 
-// Waiting calls of one urgency, in weighted fair order by customer share:
-// start-time fair queueing, where a call costs the slot time that calls of
-// its customer usually take. Calls of one customer go by arrival. Every
+// Waiting calls of one urgency, in weighted fair order by customer share. This
+// is start-time fair queueing, in which a call costs the mean slot time of its
+// customer's calls. Calls of one customer are ordered by arrival. Every
 // operation is O(log n).
 class FairQueue {
  public:
-  // `share` is above 0 and applies to the customer from now on.
+  // `share` must be positive; it applies to the customer from now on.
   void Push(const CustomerId& customer,
             std::int64_t share,
             TimePoint arrival,
             CallToken token);
-  // The call must be waiting here under this customer and arrival.
+  // The call must be in this queue with this customer and arrival.
   void Remove(const CustomerId& customer, TimePoint arrival, CallToken token);
 
-  // The call whose turn it is; the queue must not be empty.
+  // Returns the next call; the queue must not be empty.
   CallToken Head() const;
-  // Takes the head out and charges its customer.
+  // Dequeues the next call and charges its customer.
   CallToken PopHead();
 
-  // The customer's latest call, where it has one.
+  // Returns the customer's latest call, or null if it has none.
   std::optional<CallToken> Newest(const CustomerId& customer) const;
-  // The latest call of the customer with the most calls for its share, where
-  // that is more than `customer` would have with one call more.
+  // Returns the latest call of the customer that has the most calls relative to
+  // its share. Returns null unless that is more than `customer` would have with
+  // one more call.
   std::optional<CallToken> NewestOfLongest(const CustomerId& customer,
                                            std::int64_t share) const;
-  // The same whatever any other customer has.
+  // The same, without a comparison with another customer.
   std::optional<CallToken> NewestOfLongest() const;
 
-  // A call of the customer held its slot for `took`.
+  // Records that a call of the customer held its slot for `took`.
   void Learn(const CustomerId& customer, Duration took);
 
-  // Mean slot time of a call in milliseconds; zero before any is known.
+  // Returns the mean slot time of a call in milliseconds; zero before the first
+  // sample.
   double mean_cost() const { return mean_cost_; }
   std::size_t size() const { return size_; }
   bool empty() const { return size_ == 0; }
@@ -61,9 +63,9 @@
   struct Flow {
     CustomerId customer;
     double share = 1;
-    // Virtual time at which its next call starts.
+    // Virtual start time of its next call.
     double tag = 0;
-    // Breaks ties between tags; drawn anew whenever the flow gets its first
+    // Breaks ties between tags; assigned anew whenever the flow gets its first
     // waiting call.
     std::uint64_t order = 0;
     std::set<Place> calls;
@@ -78,20 +80,21 @@
 
   static FlowKey TagKey(Flow& flow);
   static FlowKey LengthKey(Flow& flow);
-  // Takes the flow out of the two orders, or puts it in again.
+  // Remove the flow from the ordered sets, or insert it again.
   void Unlink(Flow& flow);
   void Link(Flow& flow);
   void ForgetIdle();
   double CostOf(const CustomerId& customer) const;
 
   std::unordered_map<CustomerId, Flow> flows_;
-  // Mean cost of a call by customer, as mean_cost_. Kept while a customer has
-  // nothing waiting: one with few but long calls would else be charged as
-  // if they were short each time it comes back.
+  // Mean cost of a call for each customer, in the unit of `mean_cost_`. Kept
+  // while a customer has no waiting calls: otherwise a customer with few but
+  // long calls would be charged as if they were short each time it returns.
   std::unordered_map<CustomerId, double> costs_;
   std::set<FlowKey> by_tag_;
   std::set<FlowKey> by_length_;
-  // Flows without a waiting call that are still in debt, by tag.
+  // Flows without waiting calls whose tag is still ahead of the virtual time,
+  // by tag.
   std::set<FlowKey> idle_;
   double virtual_time_ = 0;
   // Mean cost of a call over all customers, in milliseconds of slot time.
--- a/policy/fleet_seat.h
+++ b/policy/fleet_seat.h
@@ -5,14 +5,14 @@
 
 namespace damasktack {
 
-// The place of one host among those of the fleet, by a number that no other
-// host has. For a moment two may have the same: one that has not heard yet
-// that its number went to another.
+// Rank of one host in the fleet, a number that no other host has. The operator
+// sees it as the host's seat. Two hosts may have the same rank for a moment,
+// until the previous holder learns that it was reassigned.
 struct FleetSeat {
   static constexpr std::int64_t kNone = -1;
 
   std::int64_t number = kNone;
-  // All numbers are below this.
+  // Number of ranks; `number` is below it.
   std::int64_t seats = 0;
 
   bool IsKnown() const { return number != kNone; }
--- a/policy/fleet_size.cc
+++ b/policy/fleet_size.cc
@@ -6,12 +6,12 @@
 
 namespace {
 
-// In which a host that starts learns how many hosts there are. After a loss of
-// power that all of them had, each counts the few that are back before it, and
-// would take itself for a large part of the fleet.
+// Time in which a starting host learns the number of hosts. After a power loss
+// of the whole fleet, each host counts only the few that returned before it,
+// and would take too large a share.
 constexpr Duration kUntilCounted = std::chrono::seconds(5);
-// A host that is cut off from its peers counts itself alone while they all go
-// on.
+// Delay before a smaller count applies: a host that is cut off from its peers
+// counts only itself while they continue.
 constexpr Duration kShrinkDelay = std::chrono::seconds(30);
 
 }  // namespace
@@ -30,8 +30,8 @@
   }
 }
 
-// While nobody has counted the hosts, there are taken to be as many as the
-// service has endpoints.
+// Until the hosts are counted, assumes as many hosts as the service has
+// endpoints.
 double FleetSize::Count(TimePoint now) const {
   const bool is_counted =
       first_list_at_ && now - *first_list_at_ >= kUntilCounted;
--- a/policy/fleet_size.h
+++ b/policy/fleet_size.h
@@ -9,21 +9,21 @@
 
 namespace damasktack {
 
-// How many hosts share the endpoints of a service, as one of them is to believe
-// where it takes its part of what an endpoint bears: rather too many than too
-// few, since no host sees what the others take.
+// Estimates the number of hosts that share the endpoints of a service. A host
+// uses it to compute its share of what an endpoint tolerates. It errs towards
+// too many hosts, since no host sees what the others send.
 class FleetSize {
  public:
-  // What is known now, and how many endpoints the service has.
+  // Sets the current count of hosts and the number of endpoints of the service.
   void Set(std::int64_t hosts, std::size_t endpoints, TimePoint now);
-  // At least 1.
+  // Returns the number of hosts to assume; at least 1.
   double Count(TimePoint now) const;
 
  private:
   double hosts_ = 1;
   double endpoints_ = 1;
   std::optional<TimePoint> first_list_at_;
-  // The larger size that was known before, and until when it counts.
+  // The previous, larger count and the time until which it applies.
   double before_ = 1;
   TimePoint before_until_;
 };
--- a/policy/measured_balancer.cc
+++ b/policy/measured_balancer.cc
@@ -9,14 +9,14 @@
 
 namespace {
 
-// Bounds of Retry-After. The shorter one is the time in which a slow server may
-// become a fast one, or a slot free, at the host that the caller meets next.
-// Not spread at random: callers come back to other hosts, and a longer wait on
-// average has fewer of them served.
+// Bounds of Retry-After. The lower bound is the time in which a slow server may
+// recover, or a slot become free, at the host that the caller reaches next. No
+// jitter is added: callers return to other hosts, and a longer average delay
+// lets fewer of them be served.
 constexpr Duration kShortestRetryAfter = std::chrono::milliseconds(15);
 constexpr Duration kLongestRetryAfter = std::chrono::seconds(1);
 
-// From 0 to 1.
+// Returns a random number from 0 to 1.
 double DrawPart(Random& random) {
   constexpr std::uint32_t kSteps = 1U << 16U;
   return static_cast<double>(UniformBelow(random, kSteps)) / kSteps;
@@ -59,8 +59,8 @@
          call.offer.on_time_until;
 }
 
-// Nowhere is the call on time. It goes to a place that is free, if it ends
-// before its deadline there, though late.
+// Used if the call is on time at no endpoint: it is sent to one with a free
+// slot if it completes there before its deadline, though late.
 bool MeasuredBalancer::IsLastChance(const WaitingCall& call,
                                     const MeasuredCandidate& best,
                                     TimePoint now) const {
@@ -215,10 +215,10 @@
       now);
 }
 
-// A caller that comes for the first time has another try of its own, which
-// costs no repeat; one that has come back is lost when it is refused. Where
-// endpoints refuse half of what they get, repeats for everybody were spent on
-// those that would have come back.
+// A first-time caller can try again by itself, which costs no retry; a
+// returning caller is lost if it is refused. When endpoints refused half of the
+// calls, retries for all callers were spent on those that would have returned
+// anyway.
 bool MeasuredBalancer::IsLeftToCaller(const CallOffer& offer) const {
   return retries_.AreScarce() &&
          !callers_.HasComeBack(offer.customer, offer.asked);
@@ -275,7 +275,7 @@
   return probes_.Next();
 }
 
-// A call that may go to some regions only says nothing of the others.
+// A call that is restricted to some regions says nothing about the others.
 void MeasuredBalancer::NotePlace(const WaitingCall& call,
                                  bool is_there,
                                  TimePoint now) {
--- a/policy/measured_balancer.h
+++ b/policy/measured_balancer.h
@@ -15,18 +15,18 @@
 
 namespace damasktack {
 
-// Balances by measuring at the moment of the decision, for services whose
-// executions take tens of milliseconds and more, on endpoints whose speed
-// changes a few times within a second.
+// Balances calls by probing endpoints at the time of the decision. It is meant
+// for services whose executions take tens of milliseconds or more, on endpoints
+// whose speed changes a few times a second.
 //
-// The load that it answers: a quarter of the endpoints is several times slower
-// than usual at any moment, and which ones changes faster than a host's own
-// answers tell. A call that finds no fresh report of a good endpoint has a few
-// endpoints probed, near ones first, then more; it goes where it will end
-// first, and only where that is on time for its caller. One that nobody can
-// serve in time is refused as soon as that is known, so that its caller may try
-// elsewhere and queues at the endpoints stay short for those that come after
-// it.
+// Made for services in which at any moment a quarter of the endpoints is
+// several times slower than usual, and the slow endpoints change faster than a
+// host's own answers show. If there is no fresh report of a good endpoint, a
+// few endpoints are probed, near ones first, then more. The call goes to the
+// endpoint where it completes first, provided that this is on time for its
+// caller. A call that no endpoint can serve in time is refused as soon as this
+// is known, so that its caller can try elsewhere and the queues at the
+// endpoints stay short for later calls.
 class MeasuredBalancer : public Balancer {
  public:
   MeasuredBalancer(MeasuredBalancerOptions options, std::uint64_t seed);
@@ -41,9 +41,9 @@
                    const SendEnd& end,
                    TimePoint now,
                    Decisions& out) override;
-  // One endpoint's refusal says little of the others: where they have room the
-  // caller is told to come back at once. In a bad second in which endpoints
-  // refuse four calls in ten, a second's wait made one call in seven late.
+  // A refusal by one endpoint says little about the others: if they have room,
+  // the caller is told to return at once. With a delay of one second, one call
+  // in seven was late while endpoints refused four calls in ten.
   Duration RetryAfterSend(const CallOffer& offer,
                           const SendEnd& end,
                           TimePoint now) override;
@@ -88,14 +88,15 @@
 
  private:
   enum class Step : std::uint8_t { kSend, kRefuse, kWait };
-  // What to do with a call, and the endpoint that it goes to or, where it is
-  // not sent, the best there is.
+  // What to do with a call, and its endpoint; if the call is not sent, the best
+  // endpoint found.
   struct Decision {
     Step step = Step::kWait;
     std::optional<MeasuredCandidate> best;
   };
 
-  // The best of enough fresh reports, where the call is on time there.
+  // Returns the best endpoint among enough fresh reports, if the call is on
+  // time there.
   std::optional<MeasuredCandidate> SettleFor(const WaitingCall& call,
                                              TimePoint now);
   Decision Decide(const WaitingCall& call, TimePoint now);
@@ -114,7 +115,8 @@
             Decisions& out);
   DecisionBasis BasisOf(const std::optional<MeasuredCandidate>& best,
                         TimePoint now) const;
-  // Whether no endpoint takes a call for longer than one waits for a place.
+  // Whether the stated limits keep every endpoint from accepting the call for
+  // longer than a call may wait.
   bool IsShut(const WaitingCall& call, TimePoint now) const;
   Duration RetryAfter(const WaitingCall& call,
                       const std::optional<MeasuredCandidate>& best,
@@ -130,7 +132,7 @@
   AdmissionQueue queue_;
   RetryBudget retries_;
   CallerTimes callers_;
-  // Since when no endpoint has been one that may take a call.
+  // Time since which no endpoint has been able to take a call.
   std::optional<TimePoint> no_place_since_;
   std::uint64_t retries_granted_ = 0;
   std::uint64_t retries_withheld_ = 0;
--- a/policy/measured_endpoints.cc
+++ b/policy/measured_endpoints.cc
@@ -11,29 +11,32 @@
 
 namespace {
 
-// Weight of one more report in what is usual.
+// Weight of a new report in the averages of the service.
 constexpr double kSampleWeight = 1.0 / 16;
-// Part of the time left that an execution is taken for, before the first
-// answer tells.
+// Divisor of the first call's time until its objective; the result is the
+// assumed execution time until the first answer.
 constexpr int kFirstGuess = 3;
-// An endpoint that has just started works up to twice as long. After its first
-// call, which warms it, a host prefers others that are as free.
+// Cost factor of an endpoint in slow start, which may take twice as long as
+// usual. It applies after the host's first call there, which warms the endpoint
+// up, so that other free endpoints are preferred.
 constexpr double kColdCost = 1.35;
-// Endpoints that are listed this soon after the first belong to it: where
-// everything starts at once they are published one by one, and none of them is
-// to be looked at before the others.
+// Endpoints listed within this time after the first list count as part of it:
+// when a whole service starts, its endpoints are published one by one, and none
+// of them should be probed before the others.
 constexpr Duration kSettling = std::chrono::seconds(5);
-// One that has joined and was never measured is looked at before others: left
-// out of the first look it would get no calls while the others suffice. Only by
-// hosts that will turn to it later, so that not each host opens a connection to
-// each endpoint that joins.
+// Cost factor for probing an endpoint that has joined and was never measured.
+// Without it the endpoint would be left out of the first probes and get no
+// calls while the others suffice. It applies only on hosts that have the
+// endpoint in their first group, so that not every host opens a connection to
+// every new endpoint.
 constexpr double kNewLook = 0.3;
-// One on trial is for calls that find nothing better.
+// Cost factor of an endpoint on trial, which takes calls only if nothing better
+// is available.
 constexpr double kTrialCost = 2;
-// A probe that failed within this makes an endpoint the last choice.
+// A failed probe within this time makes an endpoint the last choice.
 constexpr Duration kProbeFailureHolds = std::chrono::milliseconds(800);
 constexpr double kProbeFailureCost = 8;
-// Answers without a report after which an endpoint's service is taken to have
+// Number of answers without any report after which a service is assumed to send
 // none.
 constexpr std::uint64_t kSilentAnswers = 8;
 
@@ -159,8 +162,9 @@
   return basis;
 }
 
-// Others are as free at any time, so that without this it would hardly be asked
-// and nobody would learn that its limit is gone.
+// Other endpoints are always as free, so without this rule an endpoint with a
+// limit would hardly receive requests, and no host would learn that its limit
+// has ended.
 bool MeasuredEndpoints::IsDue(const MeasuredCandidate& candidate) const {
   return restraints_.rate_limit(candidate.index) && candidate.HasFreeSlot() &&
          candidate.pace <= options_.good_pace;
@@ -237,8 +241,8 @@
   const double slowdown = profile_.Slowdown(it.FillWithOne());
   const double work = it.pace * slowdown * (1 + queued / record.slots);
   it.finish = Scaled(profile_.usual(), work);
-  // One that fails or refuses more than the others comes after them; what it
-  // does take ends no later for that.
+  // An endpoint that fails or refuses more than the others is ranked lower, but
+  // the calls that it accepts do not take longer.
   const double disfavour = 1 + record.penalty;
   it.cost = Scaled(it.finish, disfavour) +
             Scaled(profile_.usual(), preference_.Cost(index));
@@ -258,7 +262,8 @@
   if (usable.empty()) {
     return best;
   }
-  // From a random start, so that hosts with the same reports choose apart.
+  // The random start makes hosts with the same reports choose different
+  // endpoints.
   std::size_t at =
       UniformBelow(random, static_cast<std::uint32_t>(usable.size()));
   for (std::size_t n = 0; n < usable.size(); ++n) {
@@ -320,8 +325,9 @@
   } else if (end.result == SendResult::kAnswered) {
     ++silent_answers_;
   }
-  // Slowness shows in the reports; compared between endpoints it would only
-  // eject whoever is slow for half a second.
+  // The relative time is left at 1: reports already show slow endpoints, and a
+  // comparison between endpoints would eject those that are slow for half a
+  // second.
   roster_.OnSendEnd(end.endpoint, end.result, 1, now);
   if (const auto sent = sent_.extract(end.token)) {
     Learn(end, sent.mapped());
--- a/policy/measured_endpoints.h
+++ b/policy/measured_endpoints.h
@@ -21,30 +21,32 @@
 
 namespace damasktack {
 
-// An endpoint as a place for one more call.
+// An endpoint, evaluated for one more call.
 struct MeasuredCandidate {
   EndpointIndex index = 0;
-  // From now to the end of the call.
+  // Expected time from now to the end of the call.
   Duration finish{};
-  // For ordering: `finish` with what another zone and failures cost.
+  // Sort key: `finish` plus the costs of another zone and of failures.
   Duration cost{};
   double calls = 0;
   double slots = 1;
   double pace = 1;
   bool is_fresh = false;
-  // As good as any: free, at its usual pace, and known to be so.
+  // Whether a fresh report shows a free slot and a usual execution time, so
+  // that no further probes are needed.
   bool is_good = false;
 
-  // The part of the slots that is in use with one more call.
+  // Returns the fraction of the slots in use with one more call.
   double FillWithOne() const { return (calls + 1) / slots; }
   bool HasFreeSlot() const { return calls + 1 <= slots; }
 };
 
-// What one host believes of the endpoints of a service: who is listed, what
-// the last reports said, what has been sent since, how long work takes there.
+// The endpoints of a service, as known to one host: the published list, the
+// last reports, the calls sent since, and the learned execution times.
 class MeasuredEndpoints {
  public:
-  // Whether also endpoints count of which only what is usual is known.
+  // Whether endpoints without a fresh report, for which only averages are
+  // known, are candidates as well.
   enum class Among : std::uint8_t { kAll, kFresh };
 
   explicit MeasuredEndpoints(const MeasuredBalancerOptions& options);
@@ -55,14 +57,15 @@
                   TimePoint now);
   void SetSeat(const FleetSeat& seat) { cold_.SetSeat(seat); }
 
-  // What is usual is guessed from the first call's objective.
+  // Initializes the usual execution time from the first call's objective.
   void Expect(const CallOffer& offer);
   void OnSend(CallToken token, const MeasuredCandidate& to, TimePoint now);
   void OnSendEnd(const SendEnd& end, TimePoint now);
   void OnReport(EndpointIndex endpoint,
                 const EndpointReport& report,
                 TimePoint now);
-  // The endpoint's answer to a call, sent at `asked_at`, or to a probe.
+  // Apply the signals in the endpoint's answer to a call, sent at `asked_at`,
+  // or to a probe.
   void OnSignals(EndpointIndex endpoint,
                  const EndpointSignals& signals,
                  TimePoint asked_at,
@@ -88,36 +91,39 @@
   std::vector<EndpointChange> TakeChanges();
 
   MeasuredCandidate Weigh(EndpointIndex index, TimePoint now) const;
-  // The cheapest for the call; null without any that may take it.
+  // Returns the endpoint with the lowest cost for the call; null if none can
+  // accept it.
   std::optional<MeasuredCandidate> Best(const WaitingCall& call,
                                         Among among,
                                         TimePoint now,
                                         Random& random);
-  // Whether some endpoint that takes calls is in a region of the call's; true
-  // where it may go anywhere.
+  // Returns whether a usable endpoint is in a region where the call may run;
+  // true if it may run anywhere.
   bool ServesRegionsOf(const WaitingCall& call) const;
-  // When the first endpoint that may get the call takes one more by what the
-  // endpoints have asked for; `latest` where none does before, null where there
-  // is no endpoint.
+  // Returns the first time at which the stated limits allow the call to some
+  // endpoint; `latest` if that is not earlier, null without an endpoint in its
+  // regions.
   std::optional<TimePoint> OpensAt(const WaitingCall& call,
                                    TimePoint now,
                                    TimePoint latest) const;
-  // Whether a report of the endpoint could bring it the call.
+  // Returns whether a fresh report of the endpoint could allow the call there.
   bool IsWorthALook(const WaitingCall& call,
                     EndpointIndex index,
                     TimePoint now) const {
     return IsAllowed(call, index) && restraints_.MayTakeOne(index, now) &&
            cold_.IsWorthALook(index, now);
   }
-  // For a look at an endpoint that is not fresh: its cost, less where it has
-  // joined and this host is to turn to it later.
+  // Evaluates an endpoint without a fresh report for a probe. The cost is
+  // reduced for an endpoint that has just joined and is in this host's first
+  // preference group.
   MeasuredCandidate WeighForLook(EndpointIndex index, TimePoint now) const;
 
-  // What a call that goes to a cold endpoint rests on; null for others.
+  // Returns the basis for sending a call to a cold endpoint; null for other
+  // endpoints.
   std::optional<ColdBasis> ColdBasisOf(const MeasuredCandidate& candidate,
                                        TimePoint now) const;
 
-  // Whether the endpoints report at all.
+  // Returns whether the endpoints send reports at all.
   bool AreReporting() const;
   std::span<const EndpointIndex> usable() const { return roster_.usable(); }
   const EndpointMeasure& measure(EndpointIndex index) const {
@@ -127,18 +133,18 @@
   bool IsFresh(EndpointIndex index, TimePoint now) const {
     return measures_[index].IsFresh(now, options_.fresh);
   }
-  // An execution at an endpoint that is hardly used.
+  // Returns the execution time at an endpoint that is hardly used.
   Duration usual_time() const { return profile_.usual(); }
   std::vector<EndpointStatus> Status(TimePoint now) const;
 
  private:
-  // What was believed of the endpoint when a call was sent there.
+  // State of the endpoint, as known when a call was sent there.
   struct SentCall {
     double fill = 0;
     double pace = 1;
     bool is_fresh = false;
-    // What it would take at that pace if the endpoint is warm; set where it is
-    // not.
+    // Expected time of the call at the same pace if the endpoint were warm; set
+    // only if it was cold.
     std::optional<Duration> warm_time;
   };
 
@@ -149,16 +155,17 @@
       roster_.OnLeaving(endpoint, now);
     }
   }
-  // Whether any that was listed is so no more.
+  // Removes the processes that are no longer listed; returns whether there were
+  // any.
   bool Unlist(const ServiceSpec& service, TimePoint now);
   void TakeIn(const EndpointSpec& spec, bool as_warm, TimePoint now);
-  // A place for an endpoint that is not listed yet.
+  // Adds an endpoint that is not listed yet and returns its index.
   EndpointIndex Add(const EndpointSpec& spec, bool as_warm, TimePoint now);
-  // Whether the call may be worked on in the endpoint's region.
+  // Whether the call may run in the endpoint's region.
   bool IsAllowed(const WaitingCall& call, EndpointIndex index) const;
   bool MayTakeOne(const MeasuredCandidate& candidate, TimePoint now) const;
-  // Whether it has a limit that lets a call through now, and is not known to be
-  // slow or full.
+  // Whether the endpoint has a stated limit and is not known to be slow or
+  // full, so that a call which the limit allows should go there.
   bool IsDue(const MeasuredCandidate& candidate) const;
   void DrawPreference();
   double PaceOf(EndpointIndex index, TimePoint now) const;
@@ -167,13 +174,13 @@
 
   const MeasuredBalancerOptions options_;
   std::vector<EndpointSpec> specs_;
-  // The process that is listed under an id. A list is compared with the one
-  // before by it, so that a change costs what it changes: compared each with
-  // each, 3,000 endpoints held a host of a tenth of a core up for half a
-  // second.
+  // Index of the listed process for each id. A new list is compared with the
+  // previous one by id, so that its cost is proportional to the changes:
+  // comparing all pairs of 3,000 endpoints blocked a host with a tenth of a
+  // core for half a second.
   std::unordered_map<EndpointId, EndpointIndex> listed_;
-  // Of those that are listed no more and whose place nobody else has taken;
-  // a process may start again under such an id.
+  // Ids of processes that are no longer listed and whose index has not been
+  // reused. A process may start again under such an id.
   std::unordered_multiset<EndpointId> unlisted_ids_;
   std::vector<EndpointMeasure> measures_;
   ColdEndpoints cold_;
@@ -183,7 +190,7 @@
   MeasurePrior prior_;
   ExecutionProfile profile_;
   ColdPace cold_pace_;
-  // Calls at endpoints.
+  // Calls in flight.
   std::unordered_map<CallToken, SentCall> sent_;
   std::optional<TimePoint> first_list_at_;
   std::uint64_t reports_ = 0;
--- a/policy/measured_options.h
+++ b/policy/measured_options.h
@@ -12,55 +12,60 @@
 
 namespace damasktack {
 
-// Of MeasuredBalancer and its parts.
+// Options of MeasuredBalancer and its components.
 struct MeasuredBalancerOptions {
-  // This host and its zone.
+  // Id and availability zone of this host.
   HostId host;
   ZoneId zone;
   AdmissionOptions admission;
   RetryBudgetOptions retries;
-  // Sends of one call at most, where its route allows more.
+  // Limit on the sends of one call, if its route allows more.
   int most_sends = 3;
 
-  // A report this young is taken as it is: within it a host's peers place less
-  // than one call at an endpoint.
+  // Maximum age of a fresh report, which is used without correction: within
+  // this time the other hosts send less than one call to an endpoint.
   Duration fresh = std::chrono::milliseconds(40);
-  // Endpoints change their pace a few times a second; an older report says no
-  // more than what is usual.
+  // Time constant with which a report loses its weight: endpoints change their
+  // pace a few times a second, so an older report says no more than the
+  // averages.
   Duration memory = std::chrono::milliseconds(150);
-  // How long a decision waits for probes: twice the way to another zone and
-  // back, and some work at both ends. As much again for each first look that is
-  // overdue, up to `most_patience`: then this host is short of processor time,
-  // and further probes would make it shorter.
+  // Time for which a decision waits for probes: twice the round trip to another
+  // zone, plus processing at both ends. It is extended by the same amount for
+  // each overdue first round of probes, up to `max_probe_timeout`: overdue
+  // probes mean that this host is short of processor time, which further probes
+  // would make worse.
   Duration probe_patience = std::chrono::milliseconds(8);
   Duration most_patience = std::chrono::milliseconds(40);
-  // Probes of a first look, near ones first, and of each further one.
+  // Number of probes in the first round, near endpoints first, and in each
+  // further round.
   std::size_t first_probes = 2;
   std::size_t further_probes = 6;
-  // With fresh reports of so many a call that is on time at the best of them
-  // goes there: where most are cold or slow, a look at all others takes longer
-  // than it gains.
+  // Number of fresh reports with which a call goes to the best of them if it is
+  // on time there. Where most endpoints are cold or slow, probing all others
+  // takes longer than it gains.
   std::size_t enough = 15;
-  // Probes of one endpoint a second that all hosts together may send. Each host
-  // has its part by the size of the fleet; `probe_part` leaves room for the
-  // first probes of hosts that start anew, and for wrong beliefs of that size.
+  // Limit on the probes a second to one endpoint from all hosts together. Each
+  // host has its share by the size of the fleet. `probe_part` is the fraction
+  // in use; the rest is for the first probes of starting hosts and for errors
+  // in the count of hosts.
   double probe_limit = 60;
   double probe_part = 0.75;
-  // What is unspent in a quiet time may be used in a bad one: probes of this
-  // long, and no fewer than a few calls need at once.
+  // Unspent budget is kept for degraded periods: at most the probes of this
+  // time, and no fewer than a few calls need at once.
   Duration probe_saving = std::chrono::seconds(5);
   double probe_burst = 15;
-  // An endpoint at which a call takes no longer than this by the usual time is
-  // as good as any: looking for a better one costs probes and crossings. Lets
-  // the last slot of a server count that slows down by 1.7 with it.
+  // Execution time, relative to the usual one, up to which an endpoint is good
+  // enough: searching for a better one costs probes and connections to other
+  // zones. It includes the last slot of a server that slows down by 1.7 when it
+  // is full.
   double good_pace = 2;
-  // A call is sent where it would still be on time if it took this much longer
-  // than is expected; work varies by about a third, and other hosts place calls
-  // meanwhile.
+  // A call is sent to an endpoint if it would be on time even with its expected
+  // duration multiplied by this factor. Execution times vary by about a third,
+  // and other hosts send calls meanwhile.
   double on_time_margin = 1.5;
   EndpointPreferenceOptions preference;
   ColdBoundOptions cold;
-  // Calls wait this long for a usable endpoint before they are refused.
+  // Time for which calls wait for a usable endpoint before they are refused.
   Duration no_endpoint_patience = std::chrono::milliseconds(150);
 };
 
--- a/policy/picker_registry.cc
+++ b/policy/picker_registry.cc
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Calls `visit` with a new picker of each kind in the registry.
+// Calls `visit` with a new picker of each type in the registry.
 template <typename Visit, EndpointPicker... Pickers>
 void ForEach(const std::variant<Pickers...>* /*registry*/, Visit visit) {
   (visit(Pickers()), ...);
--- a/policy/picker_registry.h
+++ b/policy/picker_registry.h
@@ -11,7 +11,7 @@
 
 namespace damasktack {
 
-// Every picker there is. To add one, name it here.
+// All pickers. To add a picker, list it here.
 using PickerVariant = std::variant<SamplingPicker,
                                    NaivePicker,
                                    RandomPicker,
@@ -19,12 +19,12 @@
                                    LeastOwnPicker,
                                    TwoChoicesPicker>;
 
-// The one that hosts use; the others are for comparison.
+// The picker used in production; the others are for comparison.
 using ChosenPicker = SamplingPicker;
 
-// In the order of the registry.
+// Returns the names of all pickers in the order of the registry.
 std::vector<std::string_view> PickerNames();
-// Null where no picker has the name.
+// Returns a new picker, or null if no picker has the name.
 std::optional<PickerVariant> MakePicker(std::string_view name);
 
 }  // namespace damasktack
--- a/policy/probe_budget.cc
+++ b/policy/probe_budget.cc
@@ -9,7 +9,8 @@
 
 constexpr double kRateUnits = 1e6;
 constexpr std::int64_t kOneProbe = 1'000'000 * std::int64_t{1'000'000'000};
-// Above any sensible budget; keeps the products within 64 bits.
+// Upper bound on the rate, above any practical budget; keeps the products
+// within 64 bits.
 constexpr double kHighestRate = 1e6;
 
 }  // namespace
@@ -20,13 +21,13 @@
   Gather(now);
   const double own = std::max(fleet_rate, 0.0) /
                      static_cast<double>(std::max<std::int64_t>(hosts, 1));
-  // Rounded down: the parts of all hosts stay within the whole.
+  // Rounded down, so that the shares of all hosts stay within the total.
   rate_ = static_cast<std::int64_t>(
       std::floor(std::min(own, kHighestRate) * kRateUnits));
 }
 
 void ProbeBudget::Gather(TimePoint now) {
-  // A clock reading from before the last one gathers nothing twice.
+  // A time before the last one adds nothing, so that no interval counts twice.
   const std::int64_t passed =
       std::max<std::int64_t>((Duration(now - at_)).count(), 0);
   at_ = std::max(at_, now);
--- a/policy/probe_budget.h
+++ b/policy/probe_budget.h
@@ -7,19 +7,19 @@
 
 namespace damasktack {
 
-// One host's part of a service's budget of load probes.
+// One host's share of a service's budget of load probes.
 //
-// In any interval it grants at most rate * interval + 1 probes, whatever
-// arrives: unspent budget never adds up to more than one probe. It begins
-// empty, so that hosts that start over and over send no more either. A change
-// of rate keeps what has been gathered and adds nothing.
+// In any interval it grants at most rate * interval + 1 probes under any load:
+// unspent budget never exceeds one probe. It starts empty, so that hosts that
+// restart repeatedly do not send more. A change of rate keeps the accumulated
+// budget and adds nothing.
 class ProbeBudget {
  public:
-  // `fleet_rate` is in probes a second for all `hosts` together.
+  // Sets the rate; `fleet_rate` is in probes a second for all `hosts` together.
   void SetRate(double fleet_rate, std::int64_t hosts, TimePoint now);
 
   bool HasProbe(TimePoint now);
-  // Takes one; false where there is none.
+  // Spends one probe; returns false if there is none.
   bool Take(TimePoint now);
 
   double probes_per_second() const;
@@ -27,8 +27,9 @@
  private:
   void Gather(TimePoint now);
 
-  // Whole numbers, so that no rounding ever adds up: millionths of a probe a
-  // second, and millionths of a probe a second times nanoseconds.
+  // Integers, so that rounding errors cannot accumulate. `rate_` is in
+  // millionths of a probe a second, `gathered_` in millionths of a probe a
+  // second times nanoseconds.
   std::int64_t rate_ = 0;
   std::int64_t gathered_ = 0;
   TimePoint at_;
--- a/policy/probe_need.cc
+++ b/policy/probe_need.cc
@@ -6,14 +6,16 @@
 
 namespace {
 
-// Reports on answers come about every three execution times to a host of
-// fifteen; sooner than after several of those a probe is wasted.
+// Age of a report, in time constants, after which a probe is useful. In a fleet
+// of fifteen hosts, a host receives a report on an answer about every three
+// execution times; an earlier probe would be wasted.
 constexpr std::int64_t kRelaxationsUntilStale = 8;
 constexpr Duration kLeastStale = std::chrono::milliseconds(50);
 constexpr Duration kStaleWhenIdle = std::chrono::seconds(5);
-// A probe that has been lost must not bar the endpoint from the next.
+// A probe without a result for this long counts as lost and no longer blocks
+// the next one.
 constexpr Duration kProbeLost = std::chrono::seconds(2);
-// Nothing hangs on the load of an endpoint that takes no calls, only on
+// Weight for an endpoint that takes no calls: its load does not matter, only
 // whether it serves again.
 constexpr double kWorthWithoutCalls = 0.2;
 constexpr Duration kNeverReported = std::chrono::minutes(1);
--- a/policy/probe_need.h
+++ b/policy/probe_need.h
@@ -6,18 +6,18 @@
 
 namespace damasktack {
 
-// What the worth of a probe depends on besides the endpoint.
+// Inputs to the priority of a probe besides the endpoint.
 struct ProbeContext {
-  // The time in which a report loses its worth; see LoadPrior.
+  // Time constant with which a report loses its weight; see LoadPrior.
   Duration relaxation{};
-  // Whether this host has sent calls to the service of late.
+  // Whether this host has sent calls to the service recently.
   bool busy = false;
   TimePoint now;
 };
 
-// How much a probe of the endpoint is wanted: 0 is not at all, more goes
-// first. Reports that come on answers cost nothing, so only an endpoint from
-// which none came for a while is worth one; and nothing is, twice at a time.
+// Returns the priority of probing the endpoint; 0 means that no probe is
+// needed. Reports on answers are free, so only an endpoint without a recent
+// report is probed, and never while a probe is pending.
 double ProbeNeed(const EndpointRecord& record, const ProbeContext& context);
 
 }  // namespace damasktack
--- a/policy/probe_planner.cc
+++ b/policy/probe_planner.cc
@@ -13,8 +13,8 @@
 void ProbePlanner::Share(std::size_t endpoints,
                          std::int64_t hosts,
                          TimePoint now) {
-  // Unlike calls that are shared out, probes are not held back while a host
-  // that starts does not know the fleet: it decides by them.
+  // Unlike the shares of calls, probes are not held back while a starting host
+  // does not know the size of the fleet: its decisions depend on them.
   fleet_.Set(hosts, 0, now);
   const double rate = options_.probe_limit * options_.probe_part *
                       static_cast<double>(endpoints) / fleet_.Count(now);
@@ -39,8 +39,9 @@
       [&](EndpointIndex it) { return endpoints_.IsFresh(it, now); }));
 }
 
-// A host that has just started, or is slow, would have endpoints of all zones
-// probed for one call while the answers of the first ones stand unread.
+// Without the extension, a host that has just started or is slow would probe
+// endpoints of all zones for one call while the answers to its first probes are
+// still unread.
 Duration ProbePlanner::Patience(TimePoint now) const {
   const auto overdue =
       std::ranges::count_if(endpoints_.usable(), [&](EndpointIndex it) {
--- a/policy/probe_planner.h
+++ b/policy/probe_planner.h
@@ -11,31 +11,31 @@
 
 namespace damasktack {
 
-// Which endpoints a host looks at before a decision, how long it waits for
-// their reports, and what all of that may cost.
+// Decides which endpoints a host probes before a decision, how long it waits
+// for their reports, and how much of the probe budget it spends.
 //
-// The load that it answers: a decision that finds no fresh report of a good
-// endpoint. A few near endpoints are looked at, then more; the probes of all
-// hosts together stay within what an endpoint is to answer, and a host that is
-// short of processor time is not made shorter of it by further probes.
+// Made for decisions without a fresh report of a good endpoint. A few near
+// endpoints are probed, then more. The probes of all hosts together stay within
+// the limit of each endpoint, and a host that is short of processor time does
+// not lose more of it to further probes.
 class ProbePlanner {
  public:
-  // `endpoints` must outlive this.
+  // `endpoints` must outlive the planner.
   ProbePlanner(const MeasuredBalancerOptions& options,
                MeasuredEndpoints& endpoints);
 
-  // Shares the fleet's probes of these endpoints among its hosts.
+  // Sets this host's share of the fleet's probe budget for these endpoints.
   void Share(std::size_t endpoints, std::int64_t hosts, TimePoint now);
 
-  // Whether probes are on their way that a decision should wait for.
+  // Returns whether probes are pending that a decision should wait for.
   bool AwaitsReports(TimePoint now) const;
-  // Asks for further probes that could help the call; false where there is
-  // nobody left to probe, or no budget.
+  // Requests further probes that could help the call; returns false if no
+  // endpoint is left to probe or the budget is spent.
   bool Look(const WaitingCall& call, TimePoint now, Random& random);
-  // How many endpoints are known well enough to place a call.
+  // Returns the number of endpoints with a fresh report.
   std::size_t CountFresh(TimePoint now) const;
 
-  // The next probe to send; each is named once.
+  // Returns the next probe to send; each is returned once.
   std::optional<EndpointIndex> Next();
 
   std::uint64_t sent() const { return sent_; }
@@ -51,7 +51,7 @@
   MeasuredEndpoints& endpoints_;
   FleetSize fleet_;
   TokenBucket budget_;
-  // To be probed as soon as the owner asks.
+  // Probes that the owner has not fetched yet.
   std::vector<EndpointIndex> wanted_;
   std::uint64_t sent_ = 0;
   std::uint64_t withheld_ = 0;
--- a/policy/repeat_window.h
+++ b/policy/repeat_window.h
@@ -9,31 +9,33 @@
 
 namespace damasktack {
 
-// Repeats that one host of a fleet sends of one service, where all hosts
-// together may send a part of the first sends of any window and a slack.
+// Limits the retries that one host of a fleet sends to one service. All hosts
+// together may send a fraction of the first sends of any window, plus a slack.
 //
-// The load that it answers: endpoints refuse half of what they get for some
-// seconds. A host of a large fleet has one call a second, and its part of the
-// slack is less than one repeat. What its calls earn stays good for as long as
-// they count for the fleet, and parts are rounded up by some hosts and down by
-// others, so that the sum is the fleet's at any number of hosts.
+// Made for endpoints that refuse half of their calls for some seconds. A host
+// of a large fleet has one call a second, and its share of the slack is less
+// than one retry. What its calls earn stays valid for as long as the window
+// counts them, and each host rounds by a random offset, so that the sum of the
+// shares matches the total for any number of hosts.
 class RepeatWindow {
  public:
   static constexpr Duration kWindow = std::chrono::seconds(10);
 
-  // `part` of the first sends; `rounding` from 0 to 1, drawn by each host.
+  // `part` is the allowed fraction of first sends; `rounding` is from 0 to 1,
+  // drawn at random by each host.
   RepeatWindow(double part, double rounding)
       : part_(part), rounding_(rounding) {}
 
-  // This host's part of the slack, in repeats.
+  // Sets this host's share of the slack, in retries.
   void SetShare(double share) { share_ = share; }
   void OnFirstSend(TimePoint now) { ++SliceAt(now).first_sends; }
-  // False where nothing is left; then nothing is spent.
+  // Spends one retry. Returns false, and spends nothing, if none is left.
   bool TrySpend(TimePoint now);
 
  private:
-  // The window in slices. Repeats count for one slice longer than first sends,
-  // so that each window of the fleet's holds whatever its moment.
+  // The window is divided into slices. Retries count for one slice longer than
+  // first sends, so that the limit holds for every window of the fleet at any
+  // offset.
   static constexpr std::int64_t kSlices = 20;
   static constexpr Duration kSlice = kWindow / kSlices;
 
--- a/policy/report_trust.cc
+++ b/policy/report_trust.cc
@@ -6,14 +6,14 @@
 
 namespace {
 
-// What one more pair counts: under a second's worth of reports at a service
-// that is in use, and enough of them to tell a fifth from chance.
+// Weight of a new pair. The average then covers less than a second of reports
+// at a service in use, and enough of them to tell a fifth from chance.
 constexpr double kSampleWeight = 1.0 / 128;
-// Between what fresh reports show at a busy service and what ones that are
-// renewed a few times a second show.
+// Maximum fraction of repeated reports: between the value of fresh reports at a
+// busy service and the value of reports that are renewed a few times a second.
 constexpr double kMostRepeated = 0.2;
-// Where nearly all endpoints report alike, as in an idle service, a chance
-// difference must not be divided by next to nothing.
+// Lower bound of the divisor: if nearly all endpoints report the same, as in an
+// idle service, a random difference would be divided by almost zero.
 constexpr double kLeastUnlike = 0.1;
 
 void Learn(double& part, bool alike) {
@@ -22,8 +22,8 @@
 
 }  // namespace
 
-// Reports closer together than an execution are left out: a fresh one may
-// well repeat the last, as nothing may have happened in between.
+// Reports less than one execution apart are ignored: nothing may have happened
+// in between, so a fresh report may well equal the previous one.
 void ReportTrust::OnReport(const ReportPair& pair, Duration execution) {
   if (pair.apart >= execution) {
     Learn(like_same_, pair.calls == pair.calls_before);
--- a/policy/report_trust.h
+++ b/policy/report_trust.h
@@ -9,38 +9,40 @@
 
 namespace damasktack {
 
-// A report beside the one that came from the same endpoint before it.
+// A report, compared with the previous one from the same endpoint.
 struct ReportPair {
   EndpointIndex endpoint = 0;
   // Calls in flight and queued, as reported.
   std::int32_t calls = 0;
   std::int32_t calls_before = 0;
-  // The time between the arrivals of the two.
+  // Time between the arrivals of the two.
   Duration apart{};
 };
 
-// Learns whether the reports of a service tell of the present.
+// Detects whether the reports of a service are stale.
 //
-// No report says how old its figure is: an endpoint that measures its load
-// twice a second answers with the same figure in between, and each answer
-// looks new. But an execution later an endpoint at work seldom has as many
-// calls as before. Where reports repeat the last one more often than those of
-// two different endpoints happen to be alike, they are old.
+// Reports do not state how old their figures are: an endpoint that measures its
+// load twice a second repeats the same figure in between, and each answer looks
+// new. But one execution later, an endpoint under load seldom has the same
+// number of calls. If reports repeat the previous one more often than the
+// reports of two different endpoints coincide by chance, they are stale.
 class ReportTrust {
  public:
-  // `execution` is the typical time of one; above zero.
+  // Records a report; `execution` is the typical execution time and must be
+  // positive.
   void OnReport(const ReportPair& pair, Duration execution);
 
-  // The part of the reports that repeat the last of their endpoint by more
-  // than chance, of those that come an execution or more after it. From 0 to
-  // 1; 0 before the first.
+  // Returns the fraction of reports that repeat the previous one of their
+  // endpoint more often than by chance, among those that arrive at least one
+  // execution after it. From 0 to 1; 0 before the first.
   double RepeatedPart() const;
-  // Whether a report may decide among endpoints with as many own calls.
+  // Returns whether reports are current enough to decide among endpoints with
+  // the same number of own calls.
   bool IsTrusted() const;
 
  private:
-  // The part of reports that were like the last of the same endpoint, and
-  // like the last of another.
+  // Fractions of the reports that equaled the previous one of the same
+  // endpoint, and of another endpoint.
   double like_same_ = 0;
   double like_other_ = 0;
   std::optional<EndpointIndex> last_endpoint_;
--- a/policy/retry_budget.cc
+++ b/policy/retry_budget.cc
@@ -7,13 +7,15 @@
 namespace {
 
 constexpr double kPercent = 0.01;
-// The rest is for hosts that start, each with a repeat of its own, and for
-// wrong beliefs of how many hosts there are.
+// Fraction of the slack that is divided among the hosts. The rest is for
+// starting hosts, each with one retry of its own, and for errors in the count
+// of hosts.
 constexpr double kSlackUsed = 0.75;
-// Weight of one more send in the part that failed.
+// Weight of a new send in the fraction that failed.
 constexpr double kSampleWeight = 1.0 / 64;
-// The same for the part that was refused: a host may have a few sends a second,
-// and half of them refused has to show within seconds.
+// Weight of a new send in the fraction that was refused. It is larger, since a
+// host may have only a few sends a second, and a refusal of half of them must
+// show within seconds.
 constexpr double kRefusalWeight = 1.0 / 8;
 
 void Earn(double& repeats, std::int64_t percent, double cap) {
@@ -38,20 +40,20 @@
       std::chrono::duration<double>(now - account.refilled_at) /
       std::chrono::duration<double>(options_.idle_refill);
   account.refilled_at = now;
-  // Never above one: this is for those that send too little to earn any.
+  // At most one: this is for customers that send too little to earn any.
   if (account.repeats < 1) {
     account.repeats = std::min(1.0, account.repeats + earned);
   }
 }
 
 void RetryBudget::ForgetIdle(TimePoint now) {
-  // One that did nothing for this long is back at the one repeat that a new
-  // customer starts with, or above it: forgetting gives nobody more.
+  // A customer that was idle for this long has at least the one retry that a
+  // new customer starts with, so forgetting it grants nothing extra.
   std::erase_if(customers_, [&](const auto& it) {
     return now - it.second.refilled_at >= options_.idle_refill;
   });
-  // The bound on memory holds whatever arrives. Starting over gives each
-  // customer one repeat at most, and the service's own account still binds.
+  // Keeps memory bounded under any load. Starting over grants each customer at
+  // most one retry, and the budget of the service still applies.
   if (customers_.size() >= options_.most_customers) {
     customers_.clear();
   }
--- a/policy/retry_budget.h
+++ b/policy/retry_budget.h
@@ -14,53 +14,57 @@
 namespace damasktack {
 
 struct RetryBudgetOptions {
-  // Repeats of all customers of the service together, percent of first sends.
+  // Retries of all customers of the service together, in percent of first
+  // sends.
   std::int64_t service_percent = 20;
-  // Unspent repeats a customer, or the service, may keep.
+  // Limits on the unspent retries that a customer, or the service, may
+  // accumulate.
   double customer_cap = 10;
   double service_cap = 50;
-  // Repeats beyond the percentage that all hosts together may send of one
-  // service in any RepeatWindow. Above 0 that window takes the place of
+  // Retries beyond the percentage that all hosts together may send of one
+  // service in any RepeatWindow. If positive, that window replaces
   // `service_cap`.
   double fleet_slack = 0;
-  // Time in which a customer that sends almost nothing earns one repeat.
+  // Time in which a customer with almost no traffic earns one retry.
   Duration idle_refill = std::chrono::seconds(10);
   std::size_t most_customers = 4096;
-  // With a larger part of the recent sends failing, a repeat of a call that
-  // failed while it ran is of no use.
+  // Fraction of failed sends above which a call that failed during its
+  // execution is not retried, since the retry would most likely fail too.
   double most_failing = 0.25;
-  // With a larger part of the recent sends refused unrun, repeats are scarce:
-  // the budget is not enough for all of them.
+  // Fraction of sends refused without execution above which retries are scarce:
+  // the budget does not suffice for all of them.
   double most_refused = 0.25;
 };
 
-// Repeated sends that one host allows for one service: a part of the first
-// sends of each customer and of all, so that a failing service is not sent
-// many times its load.
+// Limits the retries of one host for one service to a fraction of the first
+// sends, of each customer and in total, so that a failing service does not
+// receive a multiple of its load.
 class RetryBudget {
  public:
-  // `rounding` from 0 to 1, drawn by each host; see RepeatWindow.
+  // `rounding` is from 0 to 1, drawn at random by each host; see RepeatWindow.
   explicit RetryBudget(RetryBudgetOptions options, double rounding = 0);
 
-  // How many hosts share the slack of the service, and its endpoints.
+  // Sets the number of hosts that share the slack of the service, and the
+  // number of its endpoints.
   void SetFleet(std::int64_t hosts, std::size_t endpoints, TimePoint now);
-  // A first send earns `percent` hundredths of a repeat.
+  // Records a first send, which earns `percent` hundredths of a retry.
   void OnFirstSend(const CustomerId& customer,
                    std::int64_t percent,
                    TimePoint now);
-  // Spends one repeat. False where customer or service has none left; then
-  // nothing is spent.
+  // Spends one retry. Returns false, and spends nothing, if the customer or the
+  // service has none left.
   bool TrySpend(const CustomerId& customer,
                 std::int64_t percent,
                 TimePoint now);
 
   void OnSendEnd(SendResult result);
-  // Whether a repeat after `result` would most likely fail too. Never so for
-  // a call that surely did not run: then this hop is the nearest to the
-  // failure, and another endpoint may be well.
+  // Returns whether a retry after `result` would most likely fail too. This
+  // never holds for a call that certainly did not run: then this hop is the
+  // nearest to the failure, and another endpoint may be healthy.
   bool IsFutile(SendResult result) const;
 
-  // Whether so many sends are refused that whom a repeat is for matters.
+  // Returns whether so many sends are refused that retries must be reserved for
+  // the callers that need them most.
   bool AreScarce() const { return refused_ > options_.most_refused; }
 
   std::size_t customers() const { return customers_.size(); }
@@ -81,7 +85,8 @@
   Account service_;
   FleetSize fleet_;
   RepeatWindow window_;
-  // Part of the recent sends that failed, and that were refused unrun.
+  // Fractions of the recent sends that failed, and that were refused without
+  // execution.
   double failing_ = 0;
   double refused_ = 0;
 };
--- a/policy/sampling_picker.cc
+++ b/policy/sampling_picker.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Whether the draw falls into the endpoint's share of choices.
+// Returns whether a random draw falls into the endpoint's share of choices.
 bool DrawsShare(const CandidateView& view,
                 std::size_t position,
                 Random& random) {
@@ -26,8 +26,8 @@
 
 }  // namespace
 
-// All positions from a random start where they fit; otherwise distinct ones
-// by Floyd's method.
+// Returns all positions from a random start if they fit; otherwise distinct
+// ones by Floyd's algorithm.
 SamplingPicker::Sample SamplingPicker::Draw(const CandidateView& view,
                                             Random& random) {
   Sample sample;
--- a/policy/sampling_picker.h
+++ b/policy/sampling_picker.h
@@ -8,30 +8,30 @@
 
 namespace damasktack {
 
-// Weighs a random sample of the endpoints and takes the cheapest that has
-// room; where none of the sample has, the first that has in the order of a
-// random start.
+// Evaluates a random sample of the endpoints and takes the cheapest that has
+// room. If none of the sample has room, takes the first endpoint with room,
+// scanning from a random position.
 //
-// The sample bounds the time of a choice in a large service and draws ties at
-// random; it holds all endpoints of a small one. That hosts with the same old
-// report do not all choose the same endpoint is the work of the estimate,
-// which follows the own calls at once and old reports hardly at all.
+// The sample bounds the time of a choice in a large service and breaks ties at
+// random; in a small service it includes all endpoints. The load estimate keeps
+// hosts with the same old report from all choosing the same endpoint: it
+// follows own calls at once and old reports hardly at all.
 class SamplingPicker {
  public:
   static constexpr std::string_view kName = "sampling";
   std::optional<EndpointIndex> Pick(const CandidateView& view, Random& random);
 
  private:
-  // Small enough to weigh within a microsecond.
+  // Size of the sample; small enough to evaluate within a microsecond.
   static constexpr std::size_t kSample = 16;
-  // Where a sample has no room, so many more are looked at; when none of
-  // those has any, the call may as well wait for the next event.
+  // Number of endpoints to scan if the sample has no room. If none of these has
+  // room, the call may as well wait for the next event.
   static constexpr std::size_t kMostScanned = 48;
   struct Sample {
     std::array<std::size_t, kSample> positions{};
     std::size_t size = 0;
   };
-  // What a candidate must meet, from most to least.
+  // Requirements for a candidate, strictest first.
   enum class Demand { kRoom, kShare, kNothing };
 
   static Sample Draw(const CandidateView& view, Random& random);
--- a/policy/scaled_time.h
+++ b/policy/scaled_time.h
@@ -5,7 +5,7 @@
 
 namespace damasktack {
 
-// `time`, `factor` times as long.
+// Returns `time` multiplied by `factor`.
 inline Duration Scaled(Duration time, double factor) {
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double, std::nano>(
--- a/policy/seat_turns.cc
+++ b/policy/seat_turns.cc
@@ -9,8 +9,9 @@
 
 namespace {
 
-// By linear hashing: each seat more moves the turns of one seat only, so that
-// hosts which differ in the number of seats hardly differ in who has a turn.
+// Uses linear hashing: an additional rank takes units from only one other rank,
+// so that hosts that disagree on the number of ranks hardly disagree on the
+// assignment.
 std::int64_t SeatOfTurn(std::uint64_t drawn, std::int64_t seats) {
   const auto all = std::bit_ceil(static_cast<std::uint64_t>(seats));
   const auto number = static_cast<std::int64_t>(drawn & (all - 1));
--- a/policy/seat_turns.h
+++ b/policy/seat_turns.h
@@ -9,30 +9,31 @@
 
 namespace damasktack {
 
-// The turns of one host at one endpoint that takes only a few calls from all
-// hosts together, each turn one call within kTurnTime.
+// One host's quota at a single endpoint that tolerates only a few calls from
+// all hosts together. Each unit of quota allows one call within kQuotaWindow.
 //
-// The load that it answers: each host has calls for the endpoint all the time,
-// and what an endpoint says of itself is true for a moment only. The turns of
-// an endpoint fall to seats, drawn by a hash that all hosts compute alike, so
-// that no host needs to know what the others send.
+// Made for hosts that always have calls for the endpoint, while the state that
+// the endpoint reports holds only for a moment. The units of an endpoint's
+// quota are assigned to ranks by a hash that all hosts compute alike, so that
+// no host needs to know what the others send.
 class SeatTurns {
  public:
-  // A second, and the time for which the call before may have been on its way.
+  // One second, plus the time for which the previous call may have been in
+  // transit.
   static constexpr Duration kTurnTime = std::chrono::milliseconds(1250);
 
-  // `turns` are those of the endpoint in all. What was sent by a turn stays
-  // counted.
+  // Computes this host's units out of the `turns` units of the endpoint. Calls
+  // already sent remain counted.
   void Draw(const EndpointId& endpoint, int turns, const FleetSeat& seat);
 
-  // Those that fall to this host's seat.
+  // Returns the number of units assigned to this host's rank.
   int own() const { return own_turns_; }
   bool HasOne(TimePoint now) const;
   void OnSend(TimePoint now);
 
  private:
   int own_turns_ = 0;
-  // The last calls, one for each turn, the oldest first.
+  // Times of the last calls, one for each unit, oldest first.
   std::vector<TimePoint> sent_;
 };
 
--- a/policy/service_balancer.cc
+++ b/policy/service_balancer.cc
@@ -108,8 +108,8 @@
 }
 
 void ServiceBalancer::Learn(const CallOffer& offer, const SendEnd& end) {
-  // Failures and sheds are often quick; they would make the service look
-  // faster than it is.
+  // Failures and sheds are often fast and would make the service look faster
+  // than it is.
   if (end.result != SendResult::kAnswered) {
     return;
   }
@@ -130,8 +130,8 @@
   if (!MaySendAgain(end.result, offer.idempotent) || end.is_suspected) {
     return false;
   }
-  // A hop that is further from the failure would multiply what the nearest
-  // one does: three sends at each of ten hops are 59,049.
+  // A hop further from the failure would multiply the retries of the nearest
+  // hop: three sends at each of ten hops make 59,049.
   if (end.retried_deeper || offer.is_repeat) {
     return false;
   }
@@ -142,9 +142,9 @@
       now + LeastServiceTime(offer.urgency) >= offer.deadline) {
     return false;
   }
-  // Each hop spends its budget on what fails behind the next one, where the
-  // services between do not pass the outcome on: 1.1 times at each of ten
-  // hops are 2.6 times.
+  // If the services in between do not pass the outcome on, each hop spends its
+  // budget on failures behind the next one: 1.1 times at each of ten hops make
+  // 2.6 times.
   if (retries_.IsFutile(end.result) ||
       !retries_.TrySpend(offer.customer, offer.retry_percent, now)) {
     ++retries_withheld_;
@@ -229,9 +229,9 @@
 }
 
 bool ServiceBalancer::SendLone(TimePoint now, Decisions& out) {
-  // Where every report lies high or stays frozen, each host would wait for an
-  // answer that only a send can bring. One send for each host and pause is
-  // too little to harm an endpoint that really is full.
+  // If every report is high or frozen, each host would wait for an answer that
+  // only a send can bring. One send per host and interval is too little to harm
+  // an endpoint that really is full.
   if (queue_.empty() || in_flight_ > 0 ||
       now - last_send_ < options_.lone_send_pause) {
     return false;
@@ -290,8 +290,8 @@
   }
 }
 
-// Also where it is known that no endpoint takes a call for longer than calls
-// wait for one.
+// Also true if the stated limits keep every endpoint from accepting a call for
+// longer than calls wait for one.
 bool ServiceBalancer::GivenUpOnEndpoints(TimePoint now) const {
   const TimePoint patience_ends = now + options_.no_endpoint_patience;
   const auto opens_at = table_.OpensAt(now, patience_ends);
--- a/policy/service_balancer.h
+++ b/policy/service_balancer.h
@@ -28,17 +28,18 @@
   AdmissionOptions admission;
   TrunkReservationOptions reservation;
   RetryBudgetOptions retries;
-  // Sends of one call at most.
+  // Limit on the sends of one call.
   int most_sends = 3;
-  // Calls wait this long for a usable endpoint before they are refused.
+  // Time for which calls wait for a usable endpoint before they are refused.
   Duration no_endpoint_patience = std::chrono::milliseconds(250);
-  // With calls waiting and none in flight, one is sent this often whatever
-  // the endpoints seem to hold.
+  // Interval at which one call is sent regardless of the estimated load, if
+  // calls wait and none is in flight.
   Duration lone_send_pause = std::chrono::milliseconds(50);
 };
 
-// Balances by what this host's own calls and the reports on their answers tell,
-// for services with many more calls than endpoints in each execution's time.
+// Balances calls by the load estimated from this host's own calls and the
+// reports on their answers. It is meant for services with many more calls than
+// endpoints within the time of one execution.
 class ServiceBalancer : public Balancer {
  public:
   ServiceBalancer(BalancerOptions options, std::uint64_t seed);
@@ -95,7 +96,7 @@
   void Admit(WaitingCall call, TimePoint now, Decisions& out);
   void Pump(TimePoint now, Decisions& out);
   void RefuseHopeless(TimePoint now, Decisions& out);
-  // Owes a dispatch to each urgency that has waited too long for one.
+  // Grants a dispatch credit to each urgency that has waited too long for one.
   void OweFloors(TimePoint now);
   bool SendNext(TimePoint now, Decisions& out);
   bool SendLone(TimePoint now, Decisions& out);
@@ -109,7 +110,7 @@
   bool GoesFirst(Urgency urgency) const;
   bool MayRetry(const CallOffer& offer, const SendEnd& end, TimePoint now);
   void Learn(const CallOffer& offer, const SendEnd& end);
-  // Time to the endpoint and back.
+  // Network round-trip time to the endpoint.
   Duration WayTo(EndpointIndex endpoint) const;
   Duration LeastServiceTime(Urgency urgency) const;
   bool GivenUpOnEndpoints(TimePoint now) const;
@@ -123,9 +124,10 @@
   RetryBudget retries_;
   std::array<ServiceTimeEstimate, kUrgencyCount> service_times_;
   ExecutionTime execution_time_;
-  // When an urgency last had a dispatch, or began to wait.
+  // Time of the last dispatch of each urgency, or the time at which it began to
+  // wait.
   std::array<TimePoint, kUrgencyCount> last_served_{};
-  // Since when no endpoint may be picked.
+  // Time since which no endpoint has been usable.
   std::optional<TimePoint> unusable_since_;
   TimePoint last_send_;
   std::int64_t in_flight_ = 0;
--- a/policy/service_norm.cc
+++ b/policy/service_norm.cc
@@ -7,22 +7,25 @@
 namespace {
 
 constexpr double kMeanWeight = 0.05;
-// After this without any report the host goes by its own calls alone.
+// Time constant with which the reports lose their weight if no new one arrives;
+// after that, only the host's own calls count.
 constexpr Duration kReportsLast = std::chrono::seconds(1);
-// The median follows by steps of this share.
+// Divisor of the median that gives the size of its steps.
 constexpr std::int64_t kMedianStep = 64;
-// One stuck call must not outweigh hundreds.
+// Upper bound, so that one stuck call does not outweigh hundreds.
 constexpr double kMostRelativeTime = 16;
 constexpr Duration kShortestRelaxation = std::chrono::milliseconds(2);
 constexpr Duration kLongestRelaxation = std::chrono::seconds(1);
 constexpr Duration kRelaxationAtFirst = std::chrono::milliseconds(10);
-// A report outweighs nothing that the host knows by itself: it decides among
-// endpoints with as many own calls. Fifteen hosts that give it more weight
-// follow the same old figures to the same endpoint; see
-// docs/notes/choice-of-endpoint.md for what each weight measured.
+// Weight of a report. It is too small to outweigh what the host knows by
+// itself, so a report only decides among endpoints with the same number of own
+// calls. Fifteen hosts that give it more weight follow the same old figures to
+// the same endpoint; docs/notes/choice-of-endpoint.md lists the measurements
+// for each weight.
 constexpr double kWeightOfReport = 0.02;
 
-// The best guess without reports: other hosts do as this one does.
+// Best estimate without reports: assumes that each other host has the same load
+// as this one.
 double OthersLikeOwn(const OwnLoad& own) {
   return own.usable_slots <= 0 ? 0
                                : own.in_flight / own.usable_slots *
@@ -69,9 +72,10 @@
     prior.relaxation =
         std::clamp(typical_, kShortestRelaxation, kLongestRelaxation);
   }
-  // However little an old report counts, it orders endpoints with as many own
-  // calls, and in the same way on every host: they all fill the one that was
-  // least loaded then. Not counted at all, it leaves that to the draw.
+  // Even with a small weight, an old report orders endpoints with the same
+  // number of own calls, and does so in the same way on every host: all hosts
+  // fill the endpoint that was least loaded at that time. Without any weight,
+  // the choice is random.
   prior.report_weight = trust_.IsTrusted() ? kWeightOfReport : 0;
   prior.others_per_slot = OthersPerSlot(own, now);
   return prior;
--- a/policy/service_norm.h
+++ b/policy/service_norm.h
@@ -10,33 +10,34 @@
 
 namespace damasktack {
 
-// What one host's own calls to the whole service amount to.
+// Load of one host's own calls on the whole service.
 struct OwnLoad {
   std::int32_t in_flight = 0;
   double usable_slots = 0;
   std::int64_t hosts = 1;
 };
 
-// What is usual among the endpoints of one service, as one host sees them.
-// An endpoint is judged against it, so that a bad hour of the whole service
-// makes none of them look bad.
+// Baseline of one service, as seen by one host: the typical load and answer
+// time of its endpoints. Endpoints are compared with the baseline, so that none
+// looks bad while the whole service is degraded.
 class ServiceNorm {
  public:
-  // The last reports of all endpoints together left `others_per_slot` calls
-  // of other hosts.
+  // Records that the last reports of all endpoints together left
+  // `others_per_slot` calls of other hosts.
   void OnReport(double others_per_slot, TimePoint now);
-  // An endpoint that had reported before has done so again.
+  // Records a further report of an endpoint that had reported before.
   void OnNextReport(const ReportPair& pair);
   void OnAnswer(Duration took);
 
-  // Calls of other hosts by slot over the whole service: by the reports of
-  // all endpoints together, whose errors level out, while there are any.
+  // Returns the calls of other hosts per slot over the whole service. Uses the
+  // reports of all endpoints together, whose errors average out, as long as
+  // there are recent ones.
   double OthersPerSlot(const OwnLoad& own, TimePoint now) const;
-  // For one endpoint.
+  // Returns the prior for the load of one endpoint.
   LoadPrior Prior(const OwnLoad& own, TimePoint now) const;
-  // The median time of an answer; zero before the first.
+  // Returns the median time of an answer; zero before the first.
   Duration TypicalTime() const { return typical_; }
-  // How long an answer took by the median; capped.
+  // Returns the time of an answer divided by the median; capped.
   double RelativeTime(Duration took) const;
 
  private:
--- a/policy/service_time_estimate.cc
+++ b/policy/service_time_estimate.cc
@@ -6,10 +6,10 @@
 
 namespace {
 
-// Weight of one more sample in the mean.
+// Weight of a new sample in the mean.
 constexpr double kSampleWeight = 1.0 / 32;
-// Relative step of the quantile for one sample. Steps up and down balance
-// where one sample in ten lies below.
+// Relative step of the quantile for each sample. Steps up and down balance if
+// one sample in ten is below the quantile.
 constexpr double kStep = 0.05;
 constexpr double kBelow = 0.1;
 constexpr double kRefusalFactor = 0.99;
--- a/policy/service_time_estimate.h
+++ b/policy/service_time_estimate.h
@@ -5,17 +5,19 @@
 
 namespace damasktack {
 
-// Slot time of calls of one sort, from those that were answered.
+// Estimates the slot time of calls of one kind from answered calls.
 class ServiceTimeEstimate {
  public:
   void Learn(Duration took);
-  // A call was refused because of Least(). Lowers it a little: refused calls
-  // bring no samples, so a value that got too high would stay for ever.
+  // Records that a call was refused because of Least(). Lowers the estimate
+  // slightly: refused calls provide no samples, so an estimate that is too high
+  // would never be corrected.
   void OnRefusal();
 
-  // Nine calls in ten take longer; zero before the first sample.
+  // Returns the first decile: nine calls in ten take longer. Zero before the
+  // first sample.
   Duration Least() const;
-  // Moving mean; zero before the first sample.
+  // Returns the moving mean; zero before the first sample.
   Duration Mean() const;
 
  private:
--- a/policy/shared_rate.cc
+++ b/policy/shared_rate.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Pieces of a window at most: shorter ones would have no length.
+// Limit on the pieces of a window: with more, their length would round to zero.
 constexpr double kMostPieces = 1e6;
 
 }  // namespace
--- a/policy/shared_rate.h
+++ b/policy/shared_rate.h
@@ -7,34 +7,35 @@
 
 namespace damasktack {
 
-// When one host may send a request to an endpoint that takes only a few a
-// second from all hosts together.
+// Decides when one host may send a request to an endpoint that accepts only a
+// few a second from all hosts together.
 //
-// The load that it answers: each host has calls for the endpoint all the time,
-// and none sees what the others send. Each has its part of the rate by the size
-// of the fleet. A part of less than one request becomes one request in some
-// windows, drawn by a hash, so that hosts that wake together do not send
-// together and nothing is saved up for later.
+// Made for hosts that always have calls for the endpoint and do not see what
+// the others send. Each host has a share of the rate by the size of the fleet.
+// A share of less than one request becomes one request in some windows, chosen
+// by a hash, so that hosts that start together do not send together and unused
+// requests are not saved up.
 class SharedRate {
  public:
   static constexpr Duration kWindow = std::chrono::seconds(1);
 
-  // `seed` differs by host and by endpoint.
+  // `seed` must differ for each pair of host and endpoint.
   explicit SharedRate(std::uint64_t seed = 0) : seed_(seed) {}
 
-  // Whether a request may go there; `share` is this host's part of the rate,
-  // in requests a second.
+  // Returns whether a request may be sent now; `share` is this host's share of
+  // the rate, in requests a second.
   bool Allows(double share, TimePoint now) const;
-  // The first moment from `now` on at which Allows holds; `latest` where none
-  // comes before it.
+  // Returns the first time from `now` on at which Allows is true; `latest` if
+  // that is not earlier.
   TimePoint NextAllowed(double share, TimePoint now, TimePoint latest) const;
   void OnSend(TimePoint now) { last_send_ = now; }
 
  private:
-  // The windows are cut into pieces of equal length, one request each.
+  // Each window is divided into pieces of equal length with at most one request
+  // each.
   struct Piece {
     Duration length{};
-    // Part of the pieces that have a request.
+    // Fraction of the pieces that have a request.
     double part = 0;
   };
 
--- a/policy/slow_start.h
+++ b/policy/slow_start.h
@@ -8,14 +8,13 @@
 namespace damasktack {
 
 inline constexpr Duration kWarmingTime = std::chrono::seconds(5);
-// The share at which an endpoint that is new, returns or is on trial counts
-// among the candidates.
+// Share of choices for an endpoint that is new, returning or on trial.
 inline constexpr double kFirstShare = 0.1;
 
-// The share of choices in which an endpoint is a candidate at all. A new
-// endpoint reports no load and would draw all calls at once from every host,
-// while its caches are cold; a share that grows over kWarmingTime spreads
-// them, and needs no word between hosts.
+// Returns the share of choices in which an endpoint is a candidate at all. A
+// new endpoint reports no load and would attract all calls at once from every
+// host while its caches are cold. A share that grows over kWarmingTime spreads
+// them without communication between hosts.
 inline double CandidateShare(const EndpointRecord& record, TimePoint now) {
   switch (record.state) {
     case EndpointState::kServing:
--- a/policy/target_choice.h
+++ b/policy/target_choice.h
@@ -6,10 +6,11 @@
 
 namespace damasktack {
 
-// The service that one request of a route goes to, drawn by the weights of the
-// route's targets. Drawn anew for each request and never moved to another
-// target, so that the parts keep to their weights on every host and also while
-// one of them is short of room. The route must have passed CheckRouteBook.
+// Returns the service for one request of a route, drawn at random by the
+// weights of the route's targets. Each request is drawn independently and never
+// moved to another target, so that the weights hold on every host, also while
+// one of the targets is short of capacity. The route must have passed
+// CheckRouteBook.
 const ServiceId& ChooseTarget(const Route& route, Random& random);
 
 }  // namespace damasktack
--- a/policy/trunk_reservation.h
+++ b/policy/trunk_reservation.h
@@ -9,38 +9,41 @@
 namespace damasktack {
 
 struct TrunkReservationOptions {
-  // Part of the usable slots that must look free for a dispatch, by urgency.
+  // Fraction of the usable slots that must look free for a dispatch, by
+  // urgency.
   std::array<double, kUrgencyCount> spare = {0.0, 0.0, 0.12};
-  // Most load of the picked endpoint after the send, by urgency. Urgent calls
-  // may wait in a short queue there: a report that is old says "full" for
-  // longer than it is.
+  // Limit on the load of the chosen endpoint after the send, by urgency. Urgent
+  // calls may wait in a short queue there, since an old report states that an
+  // endpoint is full for longer than it is.
   std::array<double, kUrgencyCount> most_load = {1.35, 1.01, 1.01};
-  // Part of the slots that an urgency gets at least while it waits.
+  // Minimum fraction of the slots for each urgency while it has waiting calls.
   std::array<double, kUrgencyCount> floors = {1.0, 0.10, 0.05};
   Duration shortest_pause = std::chrono::milliseconds(10);
   Duration longest_pause = std::chrono::seconds(10);
 };
 
-// Slots of one service as one host sees them now.
+// Slots of one service, as currently seen by one host.
 struct SlotView {
   double free = 0;
   double usable = 0;
 };
 
-// How much of the endpoints each urgency may fill. Hosts share no queue, so
-// less urgent work leaves slots that look free on every host: an urgent call
-// then finds one wherever it arrives.
+// Limits how much of the endpoints each urgency may fill. Hosts share no queue,
+// so less urgent calls leave slots that look free on every host: an urgent call
+// then finds a slot at whichever host it arrives.
 class TrunkReservation {
  public:
   explicit TrunkReservation(TrunkReservationOptions options)
       : options_(options) {}
 
-  // Whether a call of this urgency may take a slot.
+  // Returns whether a call of this urgency may take a slot.
   bool Allows(Urgency urgency, const SlotView& slots) const;
-  // Bound on the load of the endpoint; `owed` calls go as far as urgent ones.
+  // Returns the limit on the load of the endpoint; calls with a dispatch credit
+  // (`owed`) have the limit of urgent ones.
   double MostLoad(Urgency urgency, bool owed) const;
-  // How long an urgency may wait on one of `hosts` hosts without a dispatch
-  // before it is owed one, so that all hosts together give it its floor.
+  // Returns how long an urgency may wait on one of `hosts` hosts without a
+  // dispatch until it is granted one, so that all hosts together provide its
+  // minimum share.
   Duration LongestPause(Urgency urgency,
                         double usable_slots,
                         Duration mean_service_time,
