--- a/policy/balancer.h
+++ b/policy/balancer.h
@@ -64,7 +64,7 @@
                           std::int64_t hosts,
                           TimePoint now) = 0;
 
-  // Sets this host's rank among the entry hosts. It determines this host's
+  // Sets this host's number among the entry hosts. It determines this host's
   // share of the calls that an endpoint tolerates.
   virtual void SetSeat(const FleetSeat& /*seat*/) {}
 
--- a/policy/cold_allowance.h
+++ b/policy/cold_allowance.h
@@ -34,11 +34,11 @@
   ColdWord word() const { return word_; }
   TimePoint told_at() const { return told_at_; }
 
-  // For a host with a rank: its quota at the endpoint.
+  // For a host with a host number: its quota at the endpoint.
   SeatTurns& turns() { return turns_; }
   bool HasTurn(TimePoint now) const { return turns_.HasOne(now); }
-  // For a host without a rank: returns whether its share of the rate, `share`
-  // calls a second, allows a call now.
+  // For a host without a host number: returns whether its share of the rate,
+  // `share` calls a second, allows a call now.
   bool Allows(double share, TimePoint now) const {
     return !IsCold(now) || rate_.Allows(share, now);
   }
--- a/policy/cold_basis.h
+++ b/policy/cold_basis.h
@@ -32,7 +32,7 @@
   double calls = 0;
   double slots = 0;
   Duration asked_age{};
-  // This host's rank, and its estimate of the number of hosts that share the
+  // This host's number, and its estimate of the number of hosts that share the
   // endpoint.
   FleetSeat seat;
   double hosts = 0;
--- a/policy/cold_endpoints.cc
+++ b/policy/cold_endpoints.cc
@@ -14,7 +14,7 @@
 // the next windows fall within one second.
 constexpr double kSharedOut = 0.5;
 // Fraction of the limit that is handed out as quota: two hosts use the same
-// unit while one of them has not learned yet that it lost its rank.
+// unit while one of them has not learned yet that it lost its host number.
 constexpr double kSharedTurns = 0.5;
 // Calls below which an endpoint counts as idle; decayed estimates are not whole
 // numbers.
--- a/policy/cold_endpoints.h
+++ b/policy/cold_endpoints.h
@@ -34,8 +34,8 @@
 // of the fleet. A free slot shows that a call would not queue. It does not
 // limit the calls within a second: callers that leave and errors free slots
 // early, and many hosts may act on one report. So each endpoint accepts calls
-// only from the few hosts whose ranks hold its quota. A host without a rank
-// keeps to its share of the rate and sends only to an idle endpoint.
+// only from the few hosts whose host numbers hold its quota. A host without a
+// number keeps to its share of the rate and sends only to an idle endpoint.
 class ColdEndpoints {
  public:
   ColdEndpoints(const HostId& host, const ColdBoundOptions& options)
@@ -45,7 +45,7 @@
   void SetService(const ServiceSpec& service,
                   std::int64_t hosts,
                   TimePoint now);
-  // Sets this host's rank among the entry hosts.
+  // Sets this host's number among the entry hosts.
   void SetSeat(const FleetSeat& seat);
   // Applies an endpoint's entry in the published list. `before` is its previous
   // entry, null if the index now belongs to a new process.
--- a/policy/fleet_seat.h
+++ b/policy/fleet_seat.h
@@ -5,14 +5,14 @@
 
 namespace damasktack {
 
-// Rank of one host in the fleet, a number that no other host has. The operator
-// sees it as the host's seat. Two hosts may have the same rank for a moment,
-// until the previous holder learns that it was reassigned.
+// Number of one host in the fleet, which no other host has. Operators see it as
+// the host's seat. Two hosts may have the same number for a moment, until the
+// previous holder learns that it was reassigned.
 struct FleetSeat {
   static constexpr std::int64_t kNone = -1;
 
   std::int64_t number = kNone;
-  // Number of ranks; `number` is below it.
+  // Count of host numbers; `number` is below it.
   std::int64_t seats = 0;
 
   bool IsKnown() const { return number != kNone; }
--- a/policy/seat_turns.cc
+++ b/policy/seat_turns.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-// Uses linear hashing: an additional rank takes units from only one other rank,
-// so that hosts that disagree on the number of ranks hardly disagree on the
-// assignment.
+// Uses linear hashing: an additional host number takes units from only one
+// other number, so that hosts that disagree on the count of numbers hardly
+// disagree on the assignment.
 std::int64_t SeatOfTurn(std::uint64_t drawn, std::int64_t seats) {
   const auto all = std::bit_ceil(static_cast<std::uint64_t>(seats));
   const auto number = static_cast<std::int64_t>(drawn & (all - 1));
--- a/policy/seat_turns.h
+++ b/policy/seat_turns.h
@@ -9,13 +9,13 @@
 
 namespace damasktack {
 
-// One host's quota at a single endpoint that tolerates only a few calls from
-// all hosts together. Each unit of quota allows one call within kQuotaWindow.
+// One host's quota at one endpoint that tolerates only a few calls from all
+// hosts together. Each unit of quota allows one call within kQuotaWindow.
 //
 // Made for hosts that always have calls for the endpoint, while the state that
 // the endpoint reports holds only for a moment. The units of an endpoint's
-// quota are assigned to ranks by a hash that all hosts compute alike, so that
-// no host needs to know what the others send.
+// quota are assigned to host numbers by a hash that all hosts compute alike, so
+// that no host needs to know what the others send.
 class SeatTurns {
  public:
   // One second, plus the time for which the previous call may have been in
@@ -26,7 +26,7 @@
   // already sent remain counted.
   void Draw(const EndpointId& endpoint, int turns, const FleetSeat& seat);
 
-  // Returns the number of units assigned to this host's rank.
+  // Returns how many units are assigned to this host's number.
   int own() const { return own_turns_; }
   bool HasOne(TimePoint now) const;
   void OnSend(TimePoint now);
--- a/tests/policy/naive_admission_queue.h
+++ b/tests/policy/naive_admission_queue.h
@@ -10,8 +10,8 @@
 
 namespace damasktack {
 
-// The same decisions as AdmissionQueue by looking through one vector each
-// time: slow and plain, for comparison.
+// Reference implementation that makes the same decisions as AdmissionQueue by
+// scanning a single vector: slow and simple, for comparison.
 class NaiveAdmissionQueue {
  public:
   explicit NaiveAdmissionQueue(AdmissionOptions options) : options_(options) {}
@@ -54,7 +54,8 @@
     return true;
   }
 
-  // Token of the call that Take would return; the class must not be empty.
+  // Returns the token of the call that Take would return; the class must not be
+  // empty.
   CallToken Head(Urgency urgency) {
     const CallOffer* best = nullptr;
     for (const WaitingCall& it : calls_) {
@@ -152,7 +153,7 @@
     return std::tie(of_a.tag, of_a.order, a.arrival, a.token) <
            std::tie(of_b.tag, of_b.order, b.arrival, b.token);
   }
-  // The least urgent, then latest, of those that `predicate` takes.
+  // Returns the least urgent, then latest, call that satisfies `predicate`.
   template <typename Predicate>
   const CallOffer* Latest(Predicate predicate) const {
     const CallOffer* latest = nullptr;
--- a/tests/policy/test_admission_queue.cc
+++ b/tests/policy/test_admission_queue.cc
@@ -30,7 +30,7 @@
 enum class Step : std::uint8_t { kAdd, kRemove, kTake, kExpire, kLearn };
 
 // Mostly one urgency, so that its queue lives long enough for the customers'
-// virtual times to part.
+// virtual times to diverge.
 Urgency RandomUrgency() {
   return *rc::gen::weightedElement<Urgency>(
       {{1, Urgency::kUrgent}, {1, Urgency::kNormal}, {6, Urgency::kBulk}});
@@ -47,7 +47,7 @@
   return call;
 }
 
-TEST_CASE("the queue decides as the naive one, and names each call once") {
+TEST_CASE("the queue matches the naive one and reports each call once") {
   const bool held = rc::check([] {
     AdmissionOptions options;
     options.most_waiting = *rc::gen::element<std::size_t>(4, 8, 60);
@@ -116,9 +116,9 @@
   CHECK(held);
 }
 
-TEST_CASE("shares hold within one call, whatever calls of a customer cost") {
-  // A customer with many or long calls takes what its neighbours paid for:
-  // they hear "deadline" though they sent little. The queue charges slot time.
+TEST_CASE("shares hold within one call for any cost of a customer's calls") {
+  // Guards against a customer with many or long calls that uses the shares of
+  // others, whose calls then miss their deadlines. The queue charges slot time.
   const bool held = rc::check([] {
     AdmissionQueue queue(AdmissionOptions{});
     const std::vector<std::int64_t> shares = {1, 2, 5};
@@ -154,9 +154,10 @@
   CHECK(held);
 }
 
-TEST_CASE("bulk gets its floor while urgent calls never end") {
-  // The council report hears "deadline" every night: each time a slot frees,
-  // another urgent call is there. The floor gives it one dispatch in twenty.
+TEST_CASE("bulk gets its minimum share under continuous urgent load") {
+  // Guards against bulk calls that miss every deadline because another urgent
+  // call is there each time a slot becomes free. The minimum share gives bulk
+  // one dispatch in twenty.
   AdmissionQueue queue(AdmissionOptions{});
   std::vector<Rejection> refused;
   int bulk = 0;
@@ -170,7 +171,7 @@
   CHECK(bulk <= 55);
 }
 
-TEST_CASE("a customer's own bulk makes room for its urgent call") {
+TEST_CASE("a customer's own bulk call is evicted for its urgent call") {
   AdmissionQueue queue(AdmissionOptions{});
   std::vector<Rejection> refused;
   for (CallToken token = 1; token <= 4; ++token) {
@@ -186,7 +187,7 @@
   CHECK(queue.Contains(9));
 }
 
-TEST_CASE("a call that comes again goes before later ones of its customer") {
+TEST_CASE("a retried call precedes later calls of its customer") {
   AdmissionQueue queue(AdmissionOptions{});
   std::vector<Rejection> refused;
   queue.Add(Call(1, "park", Urgency::kNormal), refused);
--- a/tests/policy/test_call_outcome.cc
+++ b/tests/policy/test_call_outcome.cc
@@ -13,7 +13,7 @@
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
 
-// What happens to one send on its way, drawn by the schedule.
+// What happens to one send, chosen by the schedule.
 enum class Fate : std::uint8_t {
   kConnectRefused,
   kConnectTimesOut,
@@ -31,8 +31,8 @@
 };
 constexpr int kFates = 13;
 
-// An endpoint that decides itself whether it ran the call, and what of it the
-// sender gets to see.
+// An endpoint that determines whether it runs the call, and what the sender
+// observes of it.
 struct FakeEndpoint {
   int executions = 0;
 
@@ -86,7 +86,8 @@
   return service;
 }
 
-// One call with its schedule, from its offer to what its caller hears.
+// Runs one call through a random schedule, from its offer to the outcome
+// reported to its caller.
 class Schedule {
  public:
   explicit Schedule(bool idempotent) : outcome_(idempotent), balancer_({}, 7) {
@@ -98,7 +99,7 @@
     offer_.retry_percent = 100;
     offer_.arrival = now_;
     offer_.deadline = now_ + std::chrono::seconds(2);
-    // Earlier sends of the customer leave repeats to spend.
+    // Earlier sends of the customer earn a budget for retries.
     for (CallToken token = 100; token < 110; ++token) {
       CallOffer earlier = offer_;
       earlier.token = token;
@@ -191,15 +192,18 @@
   bool over_ = false;
 };
 
-TEST_CASE("the charts of calls and endpoints are walked") {
+TEST_CASE("the embedded charts match their files") {
   WalkChart("policy/charts/call.json", CallChartText(), GetCallChart());
   CHECK(FileText("policy/charts/endpoint.json") == EndpointChartText());
 }
 
-TEST_CASE("a renewal runs once at most, and not-run is never said of one") {
-  // A plant pays twice, or is told "not run" and files again: a connection is
-  // cut after the bytes went out and the sender takes it for never sent. Only
-  // a refused connection, no byte written, or the endpoint's own word counts.
+TEST_CASE(
+    "a non-idempotent call runs at most once, and not-run is never false") {
+  // Guards against a double execution, or a false "not-run" after which the
+  // caller sends the call again. This would happen if a connection that is cut
+  // after the bytes were sent counted as never used. Only a refused connection,
+  // no byte written, or the endpoint's own answer proves that the call did not
+  // run.
   int runs = 0;
   int resent = 0;
   const bool held = rc::check([&] {
@@ -214,14 +218,14 @@
     resent += schedule.sends() > 1 ? 1 : 0;
   });
   CHECK(held);
-  // The property says nothing where no schedule ran or repeated a call.
+  // The property is vacuous if no schedule ran a call or sent one again.
   CHECK(runs > 10);
   CHECK(resent > 5);
 }
 
-TEST_CASE("a lookup may run twice, and not-run is never said of one that ran") {
-  // An inspector's lookup is sent again after a cut, the second send is
-  // refused by its deadline: it may have run, so the caller hears "unknown".
+TEST_CASE("an idempotent call may run twice, and not-run is never false") {
+  // A lookup is sent again after a cut, and the second send is refused because
+  // of its deadline: the first may have run, so the outcome is "unknown".
   int twice = 0;
   const bool held = rc::check([&] {
     Schedule schedule(true);
@@ -234,7 +238,7 @@
   CHECK(twice > 0);
 }
 
-TEST_CASE("a step that the chart does not know never leads to not-run") {
+TEST_CASE("a step that the chart does not define never leads to not-run") {
   const bool held = rc::check([] {
     CallOutcome call(*rc::gen::arbitrary<bool>());
     bool ran = false;
--- a/tests/policy/test_caller_times.cc
+++ b/tests/policy/test_caller_times.cc
@@ -13,7 +13,7 @@
 constexpr TimePoint kStart{std::chrono::hours(1)};
 const CustomerId kRoute("r");
 
-TEST_CASE("who comes back has less time than others of the route") {
+TEST_CASE("returning callers have less time than others of the route") {
   CallerTimes times;
   CHECK(!times.HasComeBack(kRoute, seconds(1)));
   times.Note(kRoute, seconds(2), kStart);
@@ -23,9 +23,9 @@
   CHECK(!times.HasComeBack(CustomerId("other"), milliseconds(1950)));
 }
 
-// Callers of a route are taken for returned ones for ever: its clients have
-// come to allow less time, and the time of before is still the longest.
-TEST_CASE("a route whose callers allow less is learnt anew") {
+// Guards against callers that count as returning for good because the clients
+// of the route now allow less time and the previous maximum is still in use.
+TEST_CASE("a route adapts when its callers allow less time") {
   CallerTimes times;
   times.Note(kRoute, seconds(2), kStart);
   for (int n = 0; n < 60; ++n) {
@@ -34,7 +34,7 @@
   CHECK(!times.HasComeBack(kRoute, seconds(1)));
 }
 
-TEST_CASE("routes without end do not fill the memory") {
+TEST_CASE("the number of remembered routes is bounded") {
   CallerTimes times;
   for (int n = 0; n < 10'000; ++n) {
     times.Note(CustomerId(std::to_string(n)), seconds(1), kStart);
--- a/tests/policy/test_cold_allowance.cc
+++ b/tests/policy/test_cold_allowance.cc
@@ -18,12 +18,12 @@
 using std::chrono::seconds;
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
-// So many slots never bound the calls of a second.
+// Enough slots not to limit the calls of a second.
 constexpr double kSlots = 100;
 constexpr ColdBoundOptions kBound = {1.5, 8};
 
-// The most calls within any second, where each host sends whenever it may, and
-// finds the endpoint idle whenever it looks.
+// Returns the maximum number of calls within any second, if each host sends
+// whenever it may and always finds the endpoint idle.
 std::size_t WorstSecond(int hosts, double rate, Duration length) {
   ServiceSpec service;
   service.cold_rate = rate;
@@ -55,11 +55,11 @@
   return worst;
 }
 
-// An endpoint crashes while its caches fill: hosts that cannot see each other
-// send it more than it tolerates. However many they are, and although each of
-// them has calls all the time, no second has more than half as much again as
-// the rate, and eight.
-TEST_CASE("hosts that always have calls keep to a cold endpoint's rate") {
+// Guards against the crash of an endpoint while its caches fill, because hosts
+// that do not see each other send it more than it tolerates. For any number of
+// hosts that always have calls, no second has more than 1.5 times the rate plus
+// eight calls.
+TEST_CASE("hosts that always have calls keep to the rate of a cold endpoint") {
   CHECK(rc::check("rates", [] {
     const int hosts = *rc::gen::inRange(1, 473);
     const double rate = *rc::gen::inRange(1, 40);
@@ -68,7 +68,7 @@
   }));
 }
 
-// Hosts that share an endpoint which is cold all the time.
+// Hosts that share an endpoint that is always cold.
 class SeatedFleet {
  public:
   SeatedFleet(int hosts, double rate, const std::string& endpoint) {
@@ -88,7 +88,7 @@
   void SetSeat(std::size_t host, const FleetSeat& seat) {
     hosts_[host].SetSeat(seat);
   }
-  // Whether the host sends, which it does whenever it may.
+  // Returns whether the host sends, which it does whenever it may.
   bool Send(std::size_t host, TimePoint now) {
     const ColdLook free{0, true, kSlots - 1, kSlots};
     if (!hosts_[host].MayTakeOne(free, now)) {
@@ -115,9 +115,10 @@
   return worst;
 }
 
-// Guards against a flood by hosts whose reports always show a free slot, some
-// of which have a seat that another has now, or differ in how many there are.
-TEST_CASE("hosts with seats keep to a cold endpoint's bound") {
+// Guards against hosts that send too many calls because their reports always
+// show a free slot, while some of them use a host number that was reassigned or
+// disagree on the count of numbers.
+TEST_CASE("hosts with host numbers keep to the limit of a cold endpoint") {
   CHECK(rc::check("seats", [] {
     const int hosts = *rc::gen::inRange(1, 300);
     const double rate = *rc::gen::inRange(1, 40);
@@ -148,9 +149,9 @@
   }));
 }
 
-// Guards against seats that leave cold endpoints unused, so that calls are
-// refused that these would have served.
-TEST_CASE("hosts with seats use what cold endpoints tolerate") {
+// Guards against quotas that leave cold endpoints unused, so that calls are
+// refused that these endpoints could have served.
+TEST_CASE("hosts with host numbers use the rate that cold endpoints tolerate") {
   constexpr int kEndpoints = 60;
   constexpr int kSeconds = 10;
   constexpr double kRate = 2;
@@ -173,9 +174,9 @@
   }
 }
 
-// The room that endpoints have while they are cold stays unused: hosts save
-// their parts up or let them lapse together. Over a while they use all of it.
-TEST_CASE("together hosts may send what a cold endpoint tolerates") {
+// Guards against shares that are saved up or expire together, so that the rate
+// tolerated by cold endpoints stays unused. Over time the hosts use all of it.
+TEST_CASE("hosts together use the rate that a cold endpoint tolerates") {
   for (const int hosts : {1, 18, 111, 472}) {
     CAPTURE(hosts);
     std::uint64_t sent = 0;
@@ -195,7 +196,7 @@
   }
 }
 
-TEST_CASE("one that is warm takes calls whatever the share") {
+TEST_CASE("a warm endpoint takes calls under any share") {
   ColdAllowance allowance(7);
   CHECK(allowance.Allows(0, kStart));
   allowance.OnCold(ColdWord::kList, kStart + seconds(1), kStart);
--- a/tests/policy/test_crash_ledger.cc
+++ b/tests/policy/test_crash_ledger.cc
@@ -22,7 +22,7 @@
   return {EndpointId("e" + std::to_string(n)), {}};
 }
 
-// An endpoint that ended, with all requests that it had in hand.
+// Records the end of an endpoint that was running the given requests.
 void Crash(CrashLedger& ledger,
            int endpoint,
            std::initializer_list<RequestFingerprint> requests,
@@ -37,7 +37,8 @@
   return ledger.Judge(it, now).suspicion;
 }
 
-TEST_CASE("three crashes quarantine a request, for longer with each further") {
+TEST_CASE(
+    "three crashes quarantine a request, and each further one extends it") {
   CrashLedger ledger({}, kSeed);
   CHECK(Judged(ledger, kCulprit, kStart) == Suspicion::kNone);
   Crash(ledger, 1, {kCulprit}, kStart);
@@ -52,8 +53,9 @@
   CHECK(ledger.Judge(kCulprit, kStart).retry_after == 2 * third.retry_after);
 }
 
-// Endpoints reset connections when they are full and answers get lost; a
-// caller that tries again and again in a bad hour must not be locked out.
+// Guards against the quarantine of a request that a caller repeats while
+// endpoints are overloaded: endpoints reset connections when they are full, and
+// answers get lost.
 TEST_CASE("broken calls whose endpoints are alive do not quarantine") {
   CrashLedger ledger({}, kSeed);
   for (int n = 0; n < 100; ++n) {
@@ -66,9 +68,9 @@
   CHECK(ledger.empty());
 }
 
-// A caller asks the same again and again, and each time its call is at an
-// endpoint that another request crashes.
-TEST_CASE("a crash that another request explains does not count") {
+// Guards against the quarantine of a request that is repeated and is each time
+// at an endpoint that another request crashes.
+TEST_CASE("a crash that is explained by another request does not count") {
   CrashLedger ledger({}, kSeed);
   for (int n = 0; n < 3; ++n) {
     Crash(ledger, n, {kCulprit, kBystander}, kStart + seconds(n));
@@ -77,14 +79,15 @@
   const TimePoint now = kStart + seconds(4);
   CHECK(Judged(ledger, kCulprit, now) == Suspicion::kQuarantined);
   CHECK(Judged(ledger, kBystander, now) == Suspicion::kSuspected);
-  // Crashes of its own count.
+  // Crashes without the other request count.
   for (int n = 4; n < 7; ++n) {
     Crash(ledger, n, {kBystander}, now);
   }
   CHECK(Judged(ledger, kBystander, now) == Suspicion::kQuarantined);
 }
 
-TEST_CASE("an answer clears a request, also of what is told later") {
+TEST_CASE(
+    "an answer clears a request of earlier crashes that are reported later") {
   CrashLedger ledger({}, kSeed);
   Crash(ledger, 1, {kBystander}, kStart);
   Crash(ledger, 2, {kBystander}, kStart);
@@ -116,23 +119,23 @@
   }
 }
 
-TEST_CASE("one crash that several calls and hosts see counts once") {
+TEST_CASE("a crash that several calls and hosts observe counts once") {
   CrashLedger ledger({}, kSeed);
   Crash(ledger, 1, {kCulprit}, kStart);
   CHECK(!ledger.Add({kCulprit, Endpoint(1), kStart + milliseconds(300)},
                     kStart + milliseconds(300)));
   CHECK(ledger.CountCrashes(kCulprit) == 1);
-  // A bystander that noticed late is news, and needs no check.
+  // A late observation by a bystander is new and needs no check.
   CHECK(ledger.Suspect({kBystander, Endpoint(1), kStart + milliseconds(400)}) ==
         SuspectStep::kShare);
   CHECK(ledger.CountCrashes(kBystander) == 1);
-  // The same endpoint, back under its name, ends again.
+  // The same endpoint has restarted under its id and crashes again.
   CHECK(ledger.Add({kCulprit, Endpoint(1), kStart + seconds(3)},
                    kStart + seconds(3)));
   CHECK(ledger.CountCrashes(kCulprit) == 2);
 }
 
-TEST_CASE("evidence is forgotten") {
+TEST_CASE("crashes are forgotten") {
   CrashLedger ledger({}, kSeed);
   for (int n = 0; n < 3; ++n) {
     Crash(ledger, n, {kCulprit}, kStart);
@@ -142,10 +145,10 @@
   CHECK(ledger.empty());
 }
 
-// Whatever comes: what is held stays within the options, a request without
-// three confirmed crashes is never quarantined, and one with three crashes that
-// it shares with nobody always is.
-TEST_CASE("a quarantine rests on crashes, in any order of events") {
+// In any order of events: memory stays within the options, a request without
+// three confirmed crashes is never quarantined, and one that was the only
+// suspect of three crashes always is.
+TEST_CASE("a quarantine requires crashes, in any order of events") {
   rc::check([] {
     CrashLedgerOptions options;
     options.most_crashes = 24;
--- a/tests/policy/test_endpoint_estimate.cc
+++ b/tests/policy/test_endpoint_estimate.cc
@@ -19,14 +19,14 @@
   return report;
 }
 
-TEST_CASE("without a report the prior and the own calls count") {
+TEST_CASE("without a report the estimate is the prior plus the own calls") {
   EndpointEstimate estimate;
   CHECK(estimate.Calls(kPrior, kSlots, kStart) == doctest::Approx(3));
   estimate.OnSend();
   CHECK(estimate.Calls(kPrior, kSlots, kStart) == doctest::Approx(4));
 }
 
-TEST_CASE("a fresh report counts as it is, own sends since on top") {
+TEST_CASE("own sends since a fresh report are added to it") {
   EndpointEstimate estimate;
   estimate.OnSend();
   estimate.OnReport(ReportOf(5), kStart);
@@ -38,7 +38,7 @@
   CHECK(estimate.Calls(kPrior, kSlots, kStart) == doctest::Approx(4));
 }
 
-TEST_CASE("an old report gives way to the prior") {
+TEST_CASE("an old report decays towards the prior") {
   EndpointEstimate estimate;
   estimate.OnReport(ReportOf(0), kStart);
   const TimePoint later = kStart + std::chrono::seconds(5);
@@ -46,10 +46,10 @@
         doctest::Approx(3).epsilon(0.01));
 }
 
-// What the caller sees: slow answers from one endpoint that all hosts crowd.
-// Its report stays at 0 whatever it carries, and comes fresh with each
-// answer. A report that repeats itself must age all the same.
-TEST_CASE("a frozen low report does not stay believed") {
+// Guards against slow answers from one endpoint to which all hosts send their
+// calls. Its report stays at 0 under any load and arrives anew with each
+// answer, so a report that repeats itself must age nevertheless.
+TEST_CASE("a frozen low report loses its weight") {
   EndpointEstimate estimate;
   TimePoint now = kStart;
   for (int n = 0; n < 50; ++n) {
@@ -60,14 +60,14 @@
   CHECK(estimate.ReportAge(now) == milliseconds(20));
 }
 
-TEST_CASE("a shed means full whatever the report says") {
+TEST_CASE("a shed means that the endpoint is full, whatever it reports") {
   EndpointEstimate estimate;
   estimate.OnReport(ReportOf(0), kStart);
   estimate.OnShed(kSlots, kStart);
   CHECK(estimate.Calls(kPrior, kSlots, kStart) >= kSlots);
 }
 
-TEST_CASE("never below the own calls, whatever is reported") {
+TEST_CASE("the estimate is never below the own calls") {
   CHECK(rc::check("own calls", [] {
     EndpointEstimate estimate;
     TimePoint now = kStart;
--- a/tests/policy/test_endpoint_preference.cc
+++ b/tests/policy/test_endpoint_preference.cc
@@ -30,7 +30,7 @@
   return first;
 }
 
-TEST_CASE("groups of the own zone come one after the other, then other zones") {
+TEST_CASE("groups of the own zone are in order, followed by other zones") {
   const EndpointPreferenceOptions options;
   EndpointPreference preference(options);
   preference.Draw(HostId("h"), Choices(), kNear + kFar);
@@ -48,7 +48,8 @@
         static_cast<std::ptrdiff_t>(options.group));
 }
 
-TEST_CASE("hosts turn to different endpoints, and to all of them alike") {
+TEST_CASE(
+    "hosts prefer different endpoints, and together all of them equally") {
   std::vector<int> hosts_at(kNear, 0);
   constexpr int kHosts = 200;
   for (int host = 0; host < kHosts; ++host) {
@@ -59,12 +60,12 @@
       ++hosts_at[it];
     }
   }
-  // 48 on average.
+  // The average is 48.
   CHECK(std::ranges::min(hosts_at) > 24);
   CHECK(std::ranges::max(hosts_at) < 96);
 }
 
-TEST_CASE("an endpoint that leaves brings one other into the first group") {
+TEST_CASE("removing an endpoint adds one other to the first group") {
   EndpointPreference preference;
   preference.Draw(HostId("h"), Choices(), kNear + kFar);
   const std::set<EndpointIndex> before = FirstGroup(preference);
--- a/tests/policy/test_endpoint_restraints.cc
+++ b/tests/policy/test_endpoint_restraints.cc
@@ -25,8 +25,9 @@
   return host;
 }
 
-// One endpoint with a limit and hosts that always have a call for it, of which
-// some start again, freeze, leave or lose their peers for a while.
+// Simulates one endpoint with a limit and hosts that always have a call for it.
+// Some of the hosts restart, freeze, leave or lose contact with their peers for
+// a while.
 class LimitedPlay {
  public:
   LimitedPlay(int hosts, double limit) : limit_(limit) {
@@ -39,7 +40,7 @@
     hosts_[n] = {MakeHost(Name(static_cast<int>(n)), 1, now_),
                  now_ + kUntilInTouch};
     hosts_[n].learns_at = now_ + milliseconds(500);
-    // Its peers tell it how many they are.
+    // Its peers tell it the size of the fleet.
     hosts_[n].cut_until = now_ + seconds(1);
   }
   void Freeze(std::size_t n, Duration time) {
@@ -53,7 +54,7 @@
           kEndpoints, static_cast<std::int64_t>(hosts_.size()) - 1, now_);
     }
   }
-  // The host has no peers for a while.
+  // Disconnects the host from its peers for a while.
   void Cut(std::size_t n, Duration time) {
     hosts_[n].restraints.SetService(kEndpoints, 1, now_);
     hosts_[n].cut_until = now_ + time;
@@ -72,7 +73,7 @@
     }
   }
 
-  // The most requests within four seconds, from hosts that are not excused.
+  // Maximum of requests within four seconds, from hosts that are not excused.
   std::size_t worst() const { return worst_; }
   double most() const { return 1.5 * limit_ * 4 + 5; }
 
@@ -84,7 +85,7 @@
     TimePoint excused_until;
     TimePoint frozen_until = {};
     TimePoint cut_until = {};
-    // When the answer to its first request tells it of the limit.
+    // Time at which the answer to its first request states the limit.
     TimePoint learns_at = {};
     bool knows = false;
   };
@@ -120,9 +121,9 @@
   std::size_t worst_ = 0;
 };
 
-// Guards against hosts that each take all of a stated limit, or save up unused
-// parts of it.
-TEST_CASE("hosts that know a limit together send no more than it allows") {
+// Guards against hosts that each use the whole of a stated limit, or save up
+// unused parts of it.
+TEST_CASE("hosts that know a limit stay within it together") {
   const bool ok = rc::check([] {
     const int hosts = *rc::gen::element(1, 3, 17, 124, 472);
     const double limit = *rc::gen::inRange(0, 60) / 10.0;
@@ -133,8 +134,8 @@
   CHECK(ok);
 }
 
-// The same while hosts start again, freeze, leave or lose their peers.
-TEST_CASE("hosts that come and go together send no more than a limit allows") {
+// The same while hosts restart, freeze, leave or lose contact with their peers.
+TEST_CASE("hosts stay within a limit together while the fleet changes") {
   const bool ok = rc::check([] {
     const int hosts = *rc::gen::inRange(5, 60);
     LimitedPlay play(hosts, *rc::gen::inRange(5, 60) / 10.0);
@@ -153,7 +154,7 @@
   CHECK(ok);
 }
 
-TEST_CASE("an answer without the limit takes it back") {
+TEST_CASE("an answer without the limit withdraws it") {
   EndpointRestraints host = MakeHost("h", 1000, kStart);
   host.OnAnswer(kEndpoint, {.rate_limit = 1}, kStart, kStart + seconds(1));
   CHECK(host.rate_limit(kEndpoint) == 1);
@@ -162,26 +163,27 @@
   CHECK(host.MayTakeOne(kEndpoint, kStart + seconds(3)));
 }
 
-// Guards against an answer that was under way when the endpoint began to state
+// Guards against an answer that was in flight when the endpoint began to state
 // its limit.
-TEST_CASE("an answer to an earlier request does not take the limit back") {
+TEST_CASE("an answer to an earlier request does not withdraw the limit") {
   EndpointRestraints host = MakeHost("h", 1000, kStart);
   host.OnAnswer(kEndpoint, {.rate_limit = 1}, kStart, kStart + seconds(1));
   host.OnAnswer(kEndpoint, {}, kStart, kStart + seconds(2));
   CHECK(host.rate_limit(kEndpoint) == 1);
 }
 
-// A probe may be answered by another part of the endpoint than calls are.
-TEST_CASE("the answer to a probe states a limit and takes none back") {
+// A probe may be answered by a different component of the endpoint than calls
+// are.
+TEST_CASE("an answer to a probe can state a limit but not withdraw it") {
   EndpointRestraints host = MakeHost("h", 1000, kStart);
   host.OnProbeAnswer(kEndpoint, {.rate_limit = 1}, kStart);
   host.OnProbeAnswer(kEndpoint, {}, kStart + seconds(1));
   CHECK(host.rate_limit(kEndpoint) == 1);
 }
 
-// Guards against an endpoint that is called again within the rest that it asked
-// for, whatever its other answers say.
-TEST_CASE("an endpoint that asked for rest gets nothing until it is over") {
+// Guards against requests to an endpoint within the pause that it asked for,
+// whatever its other answers state.
+TEST_CASE("an endpoint that asked for a pause gets no requests until it ends") {
   EndpointRestraints host = MakeHost("h", 1, kStart);
   host.OnAnswer(kEndpoint, {.rest = seconds(3)}, kStart, kStart);
   host.OnAnswer(kEndpoint, {.rest = seconds(1)}, kStart, kStart);
@@ -195,7 +197,7 @@
         kStart + seconds(2));
 }
 
-TEST_CASE("after its rest an endpoint still has its limit") {
+TEST_CASE("an endpoint still has its limit after its pause") {
   EndpointRestraints host = MakeHost("h", 1000, kStart);
   host.OnAnswer(kEndpoint, {.rate_limit = 0, .rest = seconds(3)}, kStart,
                 kStart);
@@ -205,7 +207,7 @@
   CHECK((opens_at == latest || host.MayTakeOne(kEndpoint, opens_at)));
 }
 
-TEST_CASE("another process at the index has no limit and no rest") {
+TEST_CASE("a new process at the index has no limit and no pause") {
   EndpointRestraints host = MakeHost("h", 1000, kStart);
   host.OnAnswer(kEndpoint, {.rate_limit = 1, .rest = seconds(9)}, kStart,
                 kStart);
@@ -214,9 +216,9 @@
   CHECK(host.MayTakeOne(kEndpoint, kStart));
 }
 
-// Guards against an endpoint that is never asked again after it took nothing
-// for a while.
-TEST_CASE("an endpoint that takes nothing is asked now and then") {
+// Guards against an endpoint that never receives a request again after a limit
+// of zero.
+TEST_CASE("an endpoint with a limit of zero still gets occasional requests") {
   LimitedPlay play(3, 0);
   play.Run(seconds(120));
   CHECK(play.worst() >= 1);
--- a/tests/policy/test_endpoint_roster.cc
+++ b/tests/policy/test_endpoint_roster.cc
@@ -22,9 +22,9 @@
   return spec;
 }
 
-// Guards against a start that takes seconds: each endpoint of the first list
-// had all others counted anew.
-TEST_CASE("a list is counted once, however long it is") {
+// Guards against a start that takes seconds because each endpoint of the first
+// list caused a recount of all others.
+TEST_CASE("a list of any length causes one recount") {
   for (const std::size_t endpoints : {10UL, 3'000UL}) {
     EndpointRoster roster;
     for (std::size_t n = 0; n < endpoints; ++n) {
@@ -52,7 +52,8 @@
   return usable;
 }
 
-// The lowest place that a new endpoint may take; the end without any.
+// Returns the lowest index that a new endpoint may take; the end if there is
+// none.
 EndpointIndex FreePlaceNaively(const EndpointRoster& roster) {
   const auto records = roster.records();
   const auto free = std::ranges::find_if(records, [](const EndpointRecord& it) {
@@ -62,8 +63,8 @@
   return static_cast<EndpointIndex>(free - records.begin());
 }
 
-// Guards against counts that drift from the records they were taken of.
-TEST_CASE("generated events: what is kept is what counting anew gives") {
+// Guards against totals that diverge from the records.
+TEST_CASE("totals match a recount after any sequence of events") {
   CHECK(rc::check("rosters", [] {
     EndpointRoster roster;
     TimePoint now = kStart;
--- a/tests/policy/test_endpoint_state.cc
+++ b/tests/policy/test_endpoint_state.cc
@@ -8,7 +8,7 @@
 namespace damasktack {
 namespace {
 
-TEST_CASE("the endpoint's chart is the file's, transition by transition") {
+TEST_CASE("the endpoint chart allows exactly the transitions of its file") {
   WalkChart("policy/charts/endpoint.json", EndpointChartText(),
             GetEndpointChart());
 }
--- a/tests/policy/test_endpoint_table.cc
+++ b/tests/policy/test_endpoint_table.cc
@@ -39,7 +39,7 @@
   return report;
 }
 
-// A table with its random source and clock, and short ways to drive it.
+// A table with its random source and clock, and helper functions to drive it.
 struct Fixture {
   explicit Fixture(int endpoints, std::string_view picker = "sampling")
       : service(ServiceOf(endpoints)),
@@ -56,7 +56,7 @@
     table.OnSend(index, now);
     table.OnEnd(index, result, took, now);
   }
-  // How often each endpoint is chosen in as many picks.
+  // Returns how often each endpoint is chosen in `picks` choices.
   std::map<EndpointIndex, int> Choices(int picks = 300) {
     std::map<EndpointIndex, int> chosen;
     for (int n = 0; n < picks; ++n) {
@@ -84,13 +84,13 @@
   TimePoint now = kStart;
 };
 
-TEST_CASE("an empty service gives no endpoint") {
+TEST_CASE("an empty service has no endpoint to choose") {
   Fixture fixture(0);
   CHECK_FALSE(fixture.Pick());
   CHECK_FALSE(fixture.table.AnyUsable(fixture.now));
 }
 
-TEST_CASE("an endpoint with the least calls is chosen") {
+TEST_CASE("the endpoint with the fewest calls is chosen") {
   Fixture fixture(3);
   for (EndpointIndex n = 0; n < 3; ++n) {
     fixture.table.OnReport(n, ReportOf(n == 1 ? 0 : 5), fixture.now);
@@ -98,11 +98,13 @@
   CHECK(fixture.Pick() == 1);
 }
 
-// What the caller sees: with reports renewed twice a second, calls wait at one
-// endpoint while others have free slots. Every host hears the same old figures
-// on each answer, has no own calls at most endpoints, and so sends to the one
-// that reported least. Old reports must leave the choice to the draw.
-TEST_CASE("old reports don't order endpoints with as many own calls") {
+// Guards against calls that wait at one endpoint while others have free slots.
+// With reports renewed twice a second, every host receives the same old figures
+// on each answer, has no own calls at most endpoints, and so sends to the
+// endpoint that reported the lowest load. Among old reports the choice must be
+// random.
+TEST_CASE(
+    "old reports do not order endpoints with the same number of own calls") {
   Fixture fixture(8);
   std::array<std::int32_t, 8> calls{};
   for (int round = 0; round < 250; ++round) {
@@ -124,12 +126,12 @@
   }
 }
 
-TEST_CASE("full endpoints let a call wait, but not below the own part") {
+TEST_CASE("calls wait for full endpoints only above the fair share") {
   Fixture fixture(6);
   for (EndpointIndex n = 0; n < 6; ++n) {
     fixture.table.OnReport(n, ReportOf(9), fixture.now);
   }
-  // 36 slots among 15 hosts are 3 calls for each, rounded up.
+  // 36 slots among 15 hosts make 3 calls each, rounded up.
   for (int n = 0; n < 3; ++n) {
     const auto picked = fixture.Pick();
     REQUIRE(picked);
@@ -138,20 +140,20 @@
   CHECK_FALSE(fixture.Pick());
 }
 
-// What the caller sees: no answer ever, on one host. Its reports stay high,
-// since nothing renews them while it sends nothing. The own part lets it
-// send, and the answer brings a new report.
-TEST_CASE("a host whose reports stay high is not starved") {
+// Guards against a host that never sends again. Its reports stay high, since
+// nothing renews them while it sends nothing. Its fair share lets it send, and
+// the answer brings a new report.
+TEST_CASE("a host whose reports stay high can still send") {
   Fixture fixture(2);
   fixture.table.OnReport(0, ReportOf(1000), fixture.now);
   fixture.table.OnReport(1, ReportOf(1000), fixture.now);
   CHECK(fixture.Pick(0.1));
 }
 
-// What callers see: all their calls fail at once. One endpoint answers errors
+// Guards against calls that all fail at one endpoint. It answers with errors
 // within a fraction of the usual time, so it has nothing in flight and looks
-// idle, and every host would send it the next call too.
-TEST_CASE("fast errors make an endpoint less attractive, never more") {
+// idle, and every host would send it the next call as well.
+TEST_CASE("fast errors never attract calls to an endpoint") {
   Fixture fixture(4);
   for (EndpointIndex n = 0; n < 4; ++n) {
     fixture.Call(n, SendResult::kAnswered, milliseconds(5));
@@ -163,7 +165,8 @@
   CHECK(fixture.Choices()[2] == 0);
 }
 
-TEST_CASE("an endpoint that goes on failing is ejected, tried and returns") {
+TEST_CASE(
+    "an endpoint that keeps failing is ejected, goes on trial and returns") {
   Fixture fixture(4);
   for (int n = 0; n < 20; ++n) {
     for (EndpointIndex index = 0; index < 4; ++index) {
@@ -177,7 +180,7 @@
   fixture.now += seconds(2);
   fixture.Pick();
   CHECK(fixture.StateOf(2) == "trial");
-  SUBCASE("three answers bring it back, warming first") {
+  SUBCASE("three answers return it to service through slow start") {
     for (int n = 0; n < 3; ++n) {
       fixture.Call(2, SendResult::kAnswered, milliseconds(5));
     }
@@ -186,7 +189,7 @@
     fixture.Pick();
     CHECK(fixture.StateOf(2) == "serving");
   }
-  SUBCASE("one failure sends it out again, for longer") {
+  SUBCASE("one failure ejects it again, for longer") {
     fixture.Call(2, SendResult::kTimedOut, milliseconds(5));
     CHECK(fixture.StateOf(2) == "ejected");
     fixture.now += milliseconds(1500);
@@ -206,7 +209,7 @@
   CHECK(fixture.StateOf(1) == "ejected");
 }
 
-TEST_CASE("when all fail alike none is ejected") {
+TEST_CASE("no endpoint is ejected if all fail equally") {
   Fixture fixture(6);
   for (int n = 0; n < 50; ++n) {
     for (EndpointIndex index = 0; index < 6; ++index) {
@@ -217,10 +220,10 @@
   CHECK(fixture.Choices().size() == 6);
 }
 
-// What callers see: "no endpoint", although most endpoints work. Errors come
-// in any order and endpoints leave meanwhile, each ejection being right by
-// itself. So after every step the ceiling is counted anew.
-TEST_CASE("never more than a third of the live endpoints is ejected") {
+// Guards against "no-endpoint" although most endpoints work. Errors come in any
+// order and endpoints leave meanwhile, while each ejection is correct by
+// itself. So the limit is checked after every step.
+TEST_CASE("at most a third of the live endpoints is ejected") {
   CHECK(rc::check("ceiling", [] {
     const int endpoints = *rc::gen::inRange(1, 12);
     Fixture fixture(endpoints);
@@ -248,12 +251,14 @@
   }));
 }
 
-// What the caller sees: its call is cut when the endpoint stops. The platform
-// still lists the endpoint as live, only its own report says that it drains;
-// an answer written before may then come in late and say "serving".
-TEST_CASE("a draining endpoint gets nothing new, whichever source says so") {
+// Guards against calls that are cut when the endpoint stops. The list may still
+// state that the endpoint is live, so that only its own report shows the drain,
+// and an answer written before may arrive later and report that it serves.
+TEST_CASE(
+    "a draining endpoint gets no new calls, whichever source states the "
+    "drain") {
   Fixture fixture(2);
-  SUBCASE("its report speaks first") {
+  SUBCASE("its report is the first source") {
     fixture.table.OnReport(0, ReportOf(0, EndpointMode::kDraining),
                            fixture.now);
     CHECK(fixture.Choices()[0] == 0);
@@ -264,7 +269,7 @@
     fixture.table.OnReport(0, ReportOf(0), fixture.now);
     CHECK(fixture.StateOf(0) == "warming");
   }
-  SUBCASE("the list speaks first, and no report takes it back") {
+  SUBCASE("the list is the first source, and no report overrides it") {
     fixture.service.endpoints[0].state = ListedState::kLeaving;
     fixture.SetService();
     fixture.now += seconds(10);
@@ -296,7 +301,7 @@
   CHECK(fixture.Choices()[3] == 300);
 }
 
-TEST_CASE("an index stays, and is used again only when nothing refers to it") {
+TEST_CASE("an index is stable and reused only if nothing refers to it") {
   Fixture fixture(3);
   fixture.table.OnSend(1, fixture.now);
   const EndpointSpec gone = fixture.service.endpoints[1];
@@ -316,7 +321,8 @@
   CHECK(fixture.table.Status(fixture.now).endpoints.size() == 4);
 }
 
-TEST_CASE("probes go where the last report is oldest, within the budget") {
+TEST_CASE(
+    "probes go to the endpoint with the oldest report, within the budget") {
   Fixture fixture(3);
   fixture.now += seconds(1);
   fixture.table.OnReport(0, ReportOf(1), fixture.now - milliseconds(500));
@@ -333,8 +339,8 @@
   CHECK(fixture.table.NextProbe(fixture.now) == 0);
 }
 
-// The plain picker weighs every endpoint; the chosen one must agree with it
-// wherever its sample holds all of them.
+// The naive picker evaluates every endpoint. The sampling picker must agree
+// with it if its sample includes all of them.
 TEST_CASE("sampling agrees with the naive picker in a small service") {
   CHECK(rc::check("differential", [] {
     const int endpoints = *rc::gen::inRange(1, 15);
@@ -362,7 +368,7 @@
   }));
 }
 
-TEST_CASE("in a large service a free endpoint is found if there is one") {
+TEST_CASE("a free endpoint in a large service is found") {
   CHECK(rc::check("large", [] {
     const int endpoints = *rc::gen::inRange(17, 48);
     Fixture fixture(endpoints);
@@ -378,7 +384,7 @@
   }));
 }
 
-TEST_CASE("every registered picker gives a usable endpoint") {
+TEST_CASE("every registered picker returns a usable endpoint") {
   for (const std::string_view name : PickerNames()) {
     Fixture fixture(5, name);
     fixture.service.endpoints[3].state = ListedState::kLeaving;
--- a/tests/policy/test_execution_profile.cc
+++ b/tests/policy/test_execution_profile.cc
@@ -13,7 +13,7 @@
   return std::chrono::duration<double, std::milli>(time).count();
 }
 
-// Two calls of three take 60 ms, the third 102.
+// Two of three calls take 60 ms, the third takes 102 ms.
 void ServeAround(ExecutionProfile& profile, int rounds) {
   for (int n = 0; n < rounds; ++n) {
     const double noise = n % 2 == 0 ? 0.8 : 1.2;
@@ -26,7 +26,7 @@
   }
 }
 
-TEST_CASE("what is usual and how much a full endpoint slows down are learnt") {
+TEST_CASE("the usual time and the slowdown of a full endpoint are learned") {
   ExecutionProfile profile;
   CHECK(!profile.is_known());
   profile.Guess(milliseconds(133));
@@ -36,7 +36,7 @@
   CHECK(profile.Slowdown(1) == doctest::Approx(1.7).epsilon(0.25));
 }
 
-TEST_CASE("a larger part of the slots never looks faster") {
+TEST_CASE("the slowdown does not decrease with the slots in use") {
   ExecutionProfile profile;
   profile.Guess(milliseconds(60));
   for (int n = 0; n < 200; ++n) {
@@ -47,9 +47,9 @@
   CHECK(profile.Slowdown(1.0) >= profile.Slowdown(0.7));
 }
 
-// With one slot there is no endpoint that is hardly used; what counts is the
-// whole time of an execution.
-TEST_CASE("services of one slot have their whole time right") {
+// With a single slot per endpoint, none is hardly used, and the usual time must
+// cover the whole execution.
+TEST_CASE("the execution time is correct with one slot per endpoint") {
   ExecutionProfile profile;
   profile.Guess(milliseconds(30));
   for (int n = 0; n < 400; ++n) {
@@ -59,7 +59,7 @@
   CHECK(whole == doctest::Approx(200).epsilon(kClose));
 }
 
-TEST_CASE("calls that waited in a queue tell nothing") {
+TEST_CASE("calls that waited in a queue are ignored") {
   ExecutionProfile profile;
   profile.Guess(milliseconds(60));
   profile.OnExecution(1.4, milliseconds(500));
--- a/tests/policy/test_execution_time.cc
+++ b/tests/policy/test_execution_time.cc
@@ -7,10 +7,10 @@
 
 using std::chrono::milliseconds;
 
-TEST_CASE("the way and the wait in the endpoint's queue are left out") {
-  // A customer with long calls gets more than its share: the same wait of 5 ms
-  // is added to its calls of 30 ms and to its neighbour's of 10 ms, and their
-  // costs look closer than they are.
+TEST_CASE("transit and the wait in the endpoint's queue are excluded") {
+  // Guards against a customer with long calls that gets more than its share: if
+  // the same wait of 5 ms is added to its calls of 30 ms and to another
+  // customer's calls of 10 ms, the costs look closer than they are.
   ExecutionTime time;
   EndpointReport report;
   report.in_flight = 6;
@@ -18,7 +18,8 @@
   report.slots = 6;
   Duration execution{};
   for (int n = 0; n < 2000; ++n) {
-    // Half of a mean execution of 10 ms waiting, 2 ms on the way.
+    // The call waits for half of a mean execution of 10 ms and is in transit
+    // for 2 ms.
     execution = time.Of(milliseconds(17), milliseconds(2), report);
   }
   CHECK(execution > std::chrono::microseconds(9900));
@@ -26,7 +27,7 @@
   CHECK(time.Of(milliseconds(37), milliseconds(2), report) > milliseconds(29));
 }
 
-TEST_CASE("an endpoint that reports an absurd queue makes no call free") {
+TEST_CASE("no call is free at an endpoint that reports an absurd queue") {
   ExecutionTime time;
   EndpointReport report;
   report.queued = 1'000'000;
--- a/tests/policy/test_fleet_size.cc
+++ b/tests/policy/test_fleet_size.cc
@@ -10,9 +10,9 @@
 constexpr TimePoint kStart{std::chrono::hours(1)};
 constexpr std::size_t kEndpoints = 15;
 
-// Guards against hosts that start together and each take a large part of what
-// endpoints bear.
-TEST_CASE("a host that starts counts as many hosts as endpoints") {
+// Guards against hosts that start together and each take a large share of what
+// endpoints tolerate.
+TEST_CASE("a starting host assumes as many hosts as endpoints") {
   FleetSize size;
   size.Set(1, kEndpoints, kStart);
   CHECK(size.Count(kStart) == kEndpoints);
@@ -21,9 +21,9 @@
   CHECK(size.Count(kStart + seconds(6)) == 17);
 }
 
-// Guards against a host that is cut off from its peers and takes their parts.
-TEST_CASE(
-    "a fleet that seems to shrink counts as large as before for a while") {
+// Guards against a host that is cut off from its peers and takes over their
+// shares.
+TEST_CASE("a smaller count of hosts applies only after a delay") {
   FleetSize size;
   size.Set(17, kEndpoints, kStart);
   const TimePoint cut = kStart + seconds(60);
@@ -33,7 +33,7 @@
   CHECK(size.Count(cut + seconds(31)) == 1);
 }
 
-TEST_CASE("a fleet that grows counts at once") {
+TEST_CASE("a larger count of hosts applies at once") {
   FleetSize size;
   size.Set(17, kEndpoints, kStart);
   size.Set(40, kEndpoints, kStart + seconds(60));
--- a/tests/policy/test_measured_balancer.cc
+++ b/tests/policy/test_measured_balancer.cc
@@ -53,7 +53,8 @@
   return report;
 }
 
-// Endpoints that answer each probe at once with what the test has set.
+// Runs a balancer on endpoints that answer each probe at once with the report
+// set by the test.
 class Harness {
  public:
   explicit Harness(int endpoints) : balancer(MakeOptions(), 7) {
@@ -63,7 +64,7 @@
     }
   }
 
-  // Offers a call and serves probes until nothing more happens at this time.
+  // Offers a call and answers probes until nothing more happens at this time.
   Decisions Offer(const CallOffer& offer) {
     Decisions out;
     balancer.Offer(offer, now, out);
@@ -102,7 +103,7 @@
   int probes = 0;
 };
 
-TEST_CASE("a call goes to an endpoint that works at its usual pace") {
+TEST_CASE("a call goes to an endpoint that is not slow") {
   Harness harness(8);
   for (EndpointIndex n = 0; n < 8; ++n) {
     harness.reports[n] = MakeReport(0, n == 5 ? 1 : 7);
@@ -112,8 +113,8 @@
   CHECK(out.dispatches[0].endpoint == 5);
 }
 
-// A call that nobody takes for a while is not to wait for it in vain.
-TEST_CASE("where all endpoints state low limits a call is refused at once") {
+// Guards against calls that wait although no endpoint can accept them in time.
+TEST_CASE("a call is refused at once if all endpoints state low limits") {
   constexpr int kEndpoints = 8;
   constexpr int kFleet = 400;
   Harness harness(kEndpoints);
@@ -128,7 +129,9 @@
   CHECK(harness.probes == 0);
 }
 
-TEST_CASE("where all endpoints rest a call is refused for as long at once") {
+TEST_CASE(
+    "a call is refused at once until the first pause ends if all endpoints "
+    "pause") {
   constexpr int kEndpoints = 8;
   Harness harness(kEndpoints);
   for (EndpointIndex n = 0; n < kEndpoints; ++n) {
@@ -141,9 +144,9 @@
   CHECK(harness.probes == 0);
 }
 
-// Guards against an endpoint that is called again because a late answer, a
-// probe or the list says that it serves.
-TEST_CASE("an endpoint that said that it leaves gets no more calls") {
+// Guards against calls to a leaving endpoint because a late answer, a probe or
+// the list states that it serves.
+TEST_CASE("an endpoint that announced that it is leaving gets no more calls") {
   constexpr int kEndpoints = 2;
   Harness harness(kEndpoints);
   harness.balancer.OnSignals(0, {.leaving = true}, harness.now, harness.now);
@@ -172,9 +175,11 @@
   CHECK(harness.Offer(MakeCall(++token, harness.now)).dispatches.size() == 1);
 }
 
-// Guards against a limit that stands long after its end, because nobody asks an
-// endpoint that others make needless.
-TEST_CASE("an endpoint with a limit gets what it takes while others are free") {
+// Guards against a limit that is still in use long after its end, because no
+// request is sent to an endpoint while others are free.
+TEST_CASE(
+    "an endpoint with a limit gets the calls that it allows while others are "
+    "free") {
   constexpr EndpointIndex kFar = 1;
   Harness harness(2);
   int to_limited = 0;
@@ -188,7 +193,8 @@
     harness.End(call, out.dispatches[0].endpoint, SendResult::kAnswered, out);
     harness.now += milliseconds(50);
   }
-  // Half of the limit is shared out: ten calls in twenty seconds on average.
+  // Half of the limit is divided among the hosts: ten calls in twenty seconds
+  // on average.
   CHECK(to_limited >= 4);
   CHECK(to_limited <= 20);
 }
@@ -207,10 +213,9 @@
   }
 }
 
-// The operator has drained a zone for a repair, and calls still go there, or
-// looks at its endpoints do. What is in hand there ends in peace; with nothing
-// left the caller hears that its call was not run; and the zone serves again
-// once it is given back.
+// Guards against calls and probes to the endpoints of a drained zone. Calls in
+// flight there complete; without another zone the caller is told that its call
+// was not run; and the zone serves again when its drain ends.
 TEST_CASE("a drained zone gets no calls and no probes") {
   Harness harness(8);
   const auto set_drained = [&](std::initializer_list<const char*> zones) {
@@ -252,12 +257,13 @@
   CHECK(back.dispatches[0].endpoint % 2 == 0);
 }
 
-// The endpoints of a zone that was given back crash at once, and with them the
-// calls that they had. The word that they are cold comes with the list, with
-// their answers to probes or, before either, from the end of the drain; until
-// they are warm, calls go to the others, and the first word that they are warm
-// ends it.
-TEST_CASE("a cold endpoint gets few calls, from whatever its state is known") {
+// Guards against crashes of endpoints, and of the calls in flight there, when
+// the drain of their zone ends. That they are cold is known from the list, from
+// their answers to probes or, before either, from the end of the drain. Until
+// they are warm, calls go to other endpoints, and the first statement that they
+// are warm ends it.
+TEST_CASE(
+    "a cold endpoint gets few calls, whichever source states that it is cold") {
   enum class Source : std::uint8_t { kList, kProbe, kDrain };
   for (const Source source : {Source::kList, Source::kProbe, Source::kDrain}) {
     Harness harness(2);
@@ -291,9 +297,9 @@
   }
 }
 
-// Guards against hosts that probe for the whole fleet when a seed that has just
-// started has counted few of them.
-TEST_CASE("a host that hears of a smaller fleet does not probe more at once") {
+// Guards against hosts that use the probe budget of the whole fleet when a seed
+// that has just started counts only a few of them.
+TEST_CASE("a smaller count of hosts does not raise the probe rate at once") {
   Harness harness(8);
   const auto rate = [&] {
     return harness.balancer.Status(harness.now).table.probes_per_second;
@@ -312,9 +318,9 @@
   CHECK(rate() > before);
 }
 
-// Guards against a flood by a host that reads late what an endpoint said before
-// it became cold, and takes that for the end of it.
-TEST_CASE("an answer to a probe does not unsay what was told after it") {
+// Guards against a host that sends too many calls because it reads an answer
+// late: the endpoint stated that it was warm before it became cold.
+TEST_CASE("an answer to a probe does not override a later statement") {
   Harness harness(8);
   ServiceSpec service = MakeService(8);
   service.cold_rate = 2;
@@ -340,10 +346,11 @@
   CHECK(to_cold <= 1);
 }
 
-// All endpoints of a service are cold and each has had what it tolerates from
-// this host. Calls wait without an end for a place that will not come in their
-// time; they are refused instead, and the first place that there is serves.
-TEST_CASE("calls are refused where all endpoints are cold and spent") {
+// Guards against calls that wait although all endpoints of a service are cold
+// and have received what they tolerate from this host. The calls are refused
+// instead, and the first endpoint that accepts a call again gets one.
+TEST_CASE(
+    "calls are refused if all endpoints are cold and their rate is used up") {
   Harness harness(1);
   ServiceSpec service = MakeService(1);
   service.cold_rate = 1;
@@ -361,10 +368,11 @@
   CHECK(harness.Offer(MakeCall(4, harness.now)).dispatches.size() == 1);
 }
 
-// A request is worked on in a region that its route does not allow: the other
-// region is near, free or the only one left. Such a call goes to the allowed
-// region however full that is, is told at once that it was not run where that
-// has no endpoint, and does not stop calls that may go anywhere.
+// Guards against a call that runs in a region that its route does not allow,
+// because the other region is near, free or the only one left. Such a call goes
+// to the allowed region under any load. If that region has no endpoint, the
+// caller is told at once that the call was not run. It does not block calls
+// that may run anywhere.
 TEST_CASE("calls stay in the regions that their route allows") {
   Harness harness(8);
   ServiceSpec service = MakeService(8);
@@ -390,10 +398,11 @@
   CHECK(harness.Offer(MakeCall(21, harness.now)).dispatches.size() == 1);
 }
 
-// A dock command is refused although most endpoints are free. One of them is
-// gone, the address is another's, and the list says so seconds later: no call
-// tries it again before that, and none after a look at it.
-TEST_CASE("an endpoint whose address is another's takes no calls") {
+// Guards against calls that are refused although most endpoints are free. One
+// endpoint is gone and its address belongs to another, while the list still
+// contains it for seconds. No call goes there again in that time, and none
+// after a probe that shows it.
+TEST_CASE("an endpoint whose address was reassigned gets no calls") {
   for (const bool by_probe : {false, true}) {
     Harness harness(4);
     CallOffer call = MakeCall(1, harness.now);
@@ -420,10 +429,10 @@
   }
 }
 
-// A call goes to an endpoint that is taken for busy and failing, or for free
-// and warm, by what the process before it was. Under the same id and address it
-// has started again: it is empty, cold, and has refused nobody.
-TEST_CASE("what is known of a process does not hold for the one after it") {
+// Guards against decisions based on the previous process of an endpoint, which
+// was busy and failing, or free and warm. A new process with the same id and
+// address is empty, cold, and has refused no call.
+TEST_CASE("a new process does not inherit the state of the previous one") {
   Harness harness(4);
   ServiceSpec service = MakeService(4);
   CallOffer call = MakeCall(1, harness.now);
@@ -449,7 +458,7 @@
     }
   }
   CHECK(known == 1);
-  // The end of the call to the former process says nothing of the new one.
+  // The end of the call to the previous process is no evidence for the new one.
   Decisions after;
   harness.End(call, former, SendResult::kBroken, after);
   for (const EndpointStatus& it :
@@ -458,7 +467,8 @@
   }
 }
 
-TEST_CASE("a near endpoint goes first while it is as free as a far one") {
+TEST_CASE(
+    "a near endpoint is preferred to an equally free one in another zone") {
   for (int n = 0; n < 50; ++n) {
     Harness harness(8);
     const Decisions out = harness.Offer(MakeCall(1, harness.now));
@@ -468,7 +478,7 @@
   }
 }
 
-TEST_CASE("a fresh report of a good endpoint saves the probes") {
+TEST_CASE("no probes are sent with a fresh report of a good endpoint") {
   Harness harness(8);
   harness.Offer(MakeCall(1, harness.now));
   const int before = harness.probes;
@@ -476,11 +486,11 @@
   CHECK(harness.probes == before);
 }
 
-// The caller is told at once that a command did not run, with a time at which
-// it has a chance. Every slot and queue is taken, so the command would end
-// after its objective wherever it went; waiting for the deadline would only
-// take away the caller's time to try again.
-TEST_CASE("a call that nobody can serve in time is refused early") {
+// Guards against a call that waits for its deadline although every slot and
+// queue is in use, so that it would miss its objective at every endpoint. It is
+// refused early with the time of a useful retry, since waiting would only
+// reduce the time left for it.
+TEST_CASE("a call that no endpoint can serve in time is refused early") {
   Harness harness(4);
   for (EndpointIndex n = 0; n < 4; ++n) {
     harness.reports[n] = MakeReport(12, 7);
@@ -497,10 +507,11 @@
   CHECK(harness.now - call.arrival <= milliseconds(40));
 }
 
-// Endpoints refuse four calls in ten although they have room, and the budget
-// for repeats is spent. The caller comes back once; told to wait for a second
-// it would be late, while another endpoint could take its call now.
-TEST_CASE("a caller that one endpoint refused comes back while there is room") {
+// Guards against late calls while endpoints refuse four calls in ten although
+// they have room, and the retry budget is spent. A caller that is told to wait
+// for one second is late, while another endpoint could take its call now.
+TEST_CASE(
+    "a caller refused by one endpoint may return soon if others have room") {
   Harness harness(8);
   const CallOffer call = MakeCall(1, harness.now);
   const Decisions out = harness.Offer(call);
@@ -514,9 +525,9 @@
         milliseconds(50));
 }
 
-// A service of which every slot and queue is taken: the caller is told to come
-// back when its call could end in time.
-TEST_CASE("a caller that one endpoint refused waits while all are full") {
+// If every slot and queue of the service is in use, the caller is told to
+// return when its call could complete in time.
+TEST_CASE("a caller refused by one endpoint waits if all are full") {
   Harness harness(4);
   for (EndpointIndex n = 0; n < 4; ++n) {
     harness.reports[n] = MakeReport(12, 7);
@@ -532,11 +543,11 @@
         milliseconds(100));
 }
 
-// A replaced endpoint goes on getting calls until it stops, and these are cut.
-// The store says that it leaves while a call is under way there; the answer to
-// that call comes without a report and was taken for a sign that the endpoint
-// serves again.
-TEST_CASE("an answer does not bring back an endpoint that leaves") {
+// Guards against calls that are cut because an endpoint that is being replaced
+// receives calls until it stops. The store announces that it is leaving while a
+// call is in flight; the answer to that call arrives without a report and was
+// taken as a sign that the endpoint serves again.
+TEST_CASE("an answer does not return a leaving endpoint to service") {
   Harness harness(2);
   const CallOffer call = MakeCall(1, harness.now);
   const Decisions out = harness.Offer(call);
@@ -577,7 +588,7 @@
   CHECK(is_used);
 }
 
-TEST_CASE("an endpoint that keeps failing loses its calls to the others") {
+TEST_CASE("calls move from an endpoint that keeps failing to the others") {
   Harness harness(4);
   int at_failing = 0;
   for (CallToken token = 1; token < 200; ++token) {
@@ -596,7 +607,7 @@
   CHECK(at_failing < 20);
 }
 
-TEST_CASE("no endpoint is left: calls are refused after a short wait") {
+TEST_CASE("calls are refused after a short wait if there is no endpoint") {
   Harness harness(0);
   Decisions out = harness.Offer(MakeCall(1, harness.now));
   CHECK(out.rejections.empty());
@@ -605,11 +616,12 @@
   CHECK(out.rejections[0].refusal == Refusal::kNoEndpoint);
 }
 
-// A caller waits for a refusal that was certain 25 ms before, and comes back to
-// another host with that much less of its time. Every endpoint has said that it
-// is full, nothing is left to ask, and no report that comes can be better in
-// time.
-TEST_CASE("a call that nobody can serve in time is refused at once") {
+// Guards against a refusal that comes 25 ms late, so that the caller has that
+// much less time at another host. Every endpoint has reported that it is full,
+// none is left to probe, and no report to come can be better in time.
+TEST_CASE(
+    "a call is refused at once if all reports show that none can serve it in "
+    "time") {
   Harness harness(4);
   for (EndpointIndex n = 0; n < 4; ++n) {
     harness.reports[n] = MakeReport(9, 1);
@@ -620,10 +632,11 @@
   CHECK(out.rejections[0].retry_after > Duration::zero());
 }
 
-// All endpoints are full and calls pour in, so each host would probe all the
-// time. The hosts together keep to the limit of each endpoint, however many
-// they are, and a host that has just started has saved up nothing.
-TEST_CASE("probes stay within the fleet's limit whatever arrives") {
+// Guards against probes above the limit of an endpoint: when all endpoints are
+// full under constant load, each host would probe all the time. The hosts
+// together keep to the limit for any number of hosts, and a host that has just
+// started has no saved budget.
+TEST_CASE("probes stay within the fleet's limit under any load") {
   constexpr double kSeconds = 4;
   constexpr int kEndpoints = 4;
   const MeasuredBalancerOptions options;
@@ -643,9 +656,9 @@
   }
 }
 
-// A quarter of a minute of quiet, then a bad second in which most endpoints are
-// slow: what was not spent is there to find the few good ones.
-TEST_CASE("probes that a quiet time saved serve a bad second") {
+// After 15 seconds without load, most endpoints are slow for a second: the
+// unspent budget is available to find the few good ones.
+TEST_CASE("unspent probe budget is available when endpoints are slow") {
   constexpr int kHosts = 15;
   constexpr int kEndpoints = 15;
   Harness harness(kEndpoints);
@@ -668,11 +681,11 @@
   CHECK(found == 10);
 }
 
-// A caller waits, and every other call of the host with it. The host has just
-// started, or gets a third of its processor time, and the answers to its first
-// probes stand unread for 30 ms. Asking all other endpoints meanwhile took the
-// time in which it could have read them.
-TEST_CASE("a host that is behind with its probes asks no storm of others") {
+// Guards against a host that probes all other endpoints while the answers to
+// its first probes are unread for 30 ms, since it has just started or gets a
+// third of its processor time. The additional probes took the time in which it
+// could have read the answers.
+TEST_CASE("a host with overdue probes does not probe all other endpoints") {
   Harness harness(40);
   Decisions out;
   harness.balancer.Offer(MakeCall(1, harness.now), harness.now, out);
@@ -688,10 +701,10 @@
   CHECK(asked <= 9);
 }
 
-// Half of a service was replaced, and all that a host looks at first works at
-// half of the usual speed while it is cold; a call of 60 ms is on time there.
-// One call had every endpoint of all zones probed.
-TEST_CASE("three looks are enough where the best of them is on time") {
+// Guards against probes of every endpoint in all zones for one call: half of
+// the service was replaced, and all endpoints that a host prefers take twice as
+// long while they are cold. A call of 60 ms is still on time there.
+TEST_CASE("three rounds of probes suffice if the best endpoint is on time") {
   Harness harness(40);
   for (EndpointIndex n = 0; n < 40; ++n) {
     harness.reports[n] = MakeReport(0, 2);
@@ -701,9 +714,10 @@
   CHECK(harness.probes <= 15);
 }
 
-// In a burst the endpoints that a host turns to first are full. Looking at any
-// other one it opened a connection to each of its zone, burst after burst.
-TEST_CASE("bursts turn to the same endpoints again") {
+// Guards against a host that opens a connection to each endpoint of its zone in
+// every burst, because it probes any other endpoint when the preferred ones are
+// full.
+TEST_CASE("successive bursts use the same endpoints") {
   constexpr int kEndpoints = 80;
   Harness harness(kEndpoints);
   harness.now += std::chrono::seconds(10);
@@ -724,10 +738,9 @@
   CHECK(first.size() <= 20);
 }
 
-// Guards against late answers while hundreds of endpoints join: they are free
-// and slow, and got calls that others would have ended on time.
-TEST_CASE(
-    "endpoints that have just started wait for calls until they are warm") {
+// Guards against late answers while hundreds of endpoints join. They are free
+// but slow, and received calls that others would have completed on time.
+TEST_CASE("endpoints that have just started get no calls until they are warm") {
   constexpr EndpointIndex kBefore = 40;
   constexpr EndpointIndex kAfter = 60;
   Harness harness(kAfter);
@@ -758,9 +771,9 @@
   CHECK(count_at_joined(1000) > 0);
 }
 
-// Twenty endpoints join a service of eighty on which a hundred hosts place
-// calls. Each host looks only at those that it will turn to later.
-TEST_CASE("endpoints that join are looked at by the hosts that favour them") {
+// Twenty endpoints join a service of eighty, which many hosts use. Each host
+// probes only those that are in its first preference group.
+TEST_CASE("endpoints that join are probed by the hosts that prefer them") {
   constexpr int kBefore = 80;
   constexpr int kAfter = 100;
   constexpr int kHosts = 30;
@@ -785,7 +798,7 @@
       }
     }
   }
-  // Each of the twenty is looked at, and not by each host.
+  // Each of the twenty is probed, and not by every host.
   CHECK(hosts_that_look.size() == kAfter - kBefore);
   for (const auto& [endpoint, looks] : hosts_that_look) {
     CHECK(looks < kHosts * 3);
--- a/tests/policy/test_probe_budget.cc
+++ b/tests/policy/test_probe_budget.cc
@@ -11,11 +11,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// What the endpoints see: more load probes a second than the operator allows,
-// just when they are busiest. Callers and reports come in any pattern, the
-// list of hosts changes, and unspent budget is there from a quiet hour. So
-// every pair of probes in any schedule is checked against rate * time + 1.
-TEST_CASE("no interval ever holds more probes than the budget") {
+// Guards against more load probes a second than the operator allows at the time
+// when endpoints are busiest. Callers and reports come in any pattern, the list
+// of hosts changes, and budget from an idle hour is unspent. So every pair of
+// probes in any schedule is checked against rate * time + 1.
+TEST_CASE("no interval contains more probes than the budget") {
   CHECK(rc::check("budget", [] {
     ProbeBudget budget;
     TimePoint now(seconds(5));
@@ -44,10 +44,10 @@
   }));
 }
 
-// What the endpoints see: a burst of probes whenever the list of hosts moves
-// to and fro. Were the time of the last probe kept instead of the gathered
-// part, each move to a higher rate would release a probe at once.
-TEST_CASE("a rate that changes to and fro gathers no more than its integral") {
+// Guards against a burst of probes whenever the number of hosts alternates. If
+// the time of the last probe were stored instead of the accumulated budget,
+// each change to a higher rate would release a probe at once.
+TEST_CASE("an alternating rate accumulates no more than its integral") {
   CHECK(rc::check("changing rate", [] {
     ProbeBudget budget;
     TimePoint now(seconds(5));
@@ -66,7 +66,7 @@
   }));
 }
 
-TEST_CASE("unspent budget does not pile up and a start has none") {
+TEST_CASE("unspent budget does not accumulate, and a new budget is empty") {
   ProbeBudget budget;
   const TimePoint start(seconds(5));
   budget.SetRate(10, 1, start);
@@ -78,7 +78,7 @@
   CHECK(budget.Take(much_later + milliseconds(100)));
 }
 
-TEST_CASE("no budget grants nothing") {
+TEST_CASE("a budget of zero grants no probe") {
   ProbeBudget budget;
   budget.SetRate(0, 15, TimePoint(seconds(1)));
   CHECK_FALSE(budget.Take(TimePoint(std::chrono::hours(1))));
--- a/tests/policy/test_report_trust.cc
+++ b/tests/policy/test_report_trust.cc
@@ -15,7 +15,8 @@
 constexpr std::uint32_t kMostCalls = 6;
 constexpr Duration kExecution = milliseconds(7);
 
-// Eight endpoints that report in turn, every 40 ms each unless said otherwise.
+// Eight endpoints that report in turn, each every 40 ms unless stated
+// otherwise.
 struct Reporters {
   void Measure() {
     for (std::int32_t& it : calls) {
@@ -28,7 +29,8 @@
     }
     before = calls;
   }
-  // As many rounds, with a new measurement before every `renewed_each`th.
+  // Runs the given number of rounds, with a new measurement before every
+  // `renewed_each`th.
   void Rounds(int rounds, int renewed_each) {
     for (int n = 0; n < rounds; ++n) {
       if (n % renewed_each == 0) {
@@ -44,11 +46,11 @@
   std::array<std::int32_t, kEndpoints> before{};
 };
 
-TEST_CASE("reports are trusted before anything is known") {
+TEST_CASE("reports are trusted initially") {
   CHECK(ReportTrust().IsTrusted());
 }
 
-TEST_CASE("reports that are measured anew each time are trusted") {
+TEST_CASE("reports with new measurements are trusted") {
   Reporters reporters;
   for (int n = 0; n < 200; ++n) {
     reporters.Rounds(10, 1);
@@ -56,9 +58,9 @@
   }
 }
 
-// What the caller sees: urgent calls wait at one endpoint while others have
-// free slots. Each endpoint measures its load twice a second and repeats the
-// figure on every answer in between, so that all hosts go by the same old one.
+// Guards against urgent calls that wait at one endpoint while others have free
+// slots. Each endpoint measures its load twice a second and repeats the figure
+// on every answer in between, so that all hosts act on the same old figure.
 TEST_CASE("reports that repeat an old measurement are not trusted") {
   Reporters reporters;
   reporters.Rounds(200, 12);
@@ -66,14 +68,14 @@
   CHECK(reporters.trust.RepeatedPart() > 0.5);
 }
 
-TEST_CASE("trust returns when the reports are fresh again") {
+TEST_CASE("reports are trusted again when they are fresh again") {
   Reporters reporters;
   reporters.Rounds(200, 12);
   reporters.Rounds(200, 1);
   CHECK(reporters.trust.IsTrusted());
 }
 
-TEST_CASE("idle endpoints that all report nothing are trusted") {
+TEST_CASE("reports of zero by all idle endpoints are trusted") {
   Reporters reporters;
   for (int n = 0; n < 300; ++n) {
     reporters.ReportAll();
@@ -81,7 +83,7 @@
   CHECK(reporters.trust.IsTrusted());
 }
 
-TEST_CASE("a repeat within an execution does not count") {
+TEST_CASE("an equal report within one execution time is ignored") {
   Reporters reporters;
   reporters.Measure();
   for (int n = 0; n < 300; ++n) {
--- a/tests/policy/test_retry_budget.cc
+++ b/tests/policy/test_retry_budget.cc
@@ -15,9 +15,10 @@
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
 
-TEST_CASE("repeats stay within the percentage, whatever the order") {
-  // A failing service gets every call several times and cannot recover: each
-  // failure costs another send. The budget caps that at the contract's part.
+TEST_CASE("retries stay within the percentage in any order of events") {
+  // Guards against a failing service that receives every call several times and
+  // cannot recover, since each failure causes another send. The budget limits
+  // retries to the percentage in the contract.
   const bool held = rc::check([] {
     const RetryBudgetOptions options;
     RetryBudget budget(options);
@@ -45,7 +46,7 @@
   CHECK(held);
 }
 
-TEST_CASE("unspent repeats do not pile up") {
+TEST_CASE("unspent retries are capped") {
   RetryBudget budget(RetryBudgetOptions{});
   for (int n = 0; n < 100'000; ++n) {
     budget.OnFirstSend(CustomerId("a"), 100, kStart);
@@ -57,7 +58,7 @@
   CHECK(repeats == 10);
 }
 
-TEST_CASE("a customer that sends little may repeat one call now and then") {
+TEST_CASE("a customer with little traffic may retry one call now and then") {
   RetryBudget budget(RetryBudgetOptions{});
   CHECK(budget.TrySpend(CustomerId("a"), 10, kStart));
   CHECK_FALSE(budget.TrySpend(CustomerId("a"), 10, kStart));
@@ -65,7 +66,7 @@
       budget.TrySpend(CustomerId("a"), 10, kStart + std::chrono::seconds(10)));
 }
 
-TEST_CASE("all customers together are bound by the service's part") {
+TEST_CASE("the limit of the service applies to all customers together") {
   RetryBudget budget(RetryBudgetOptions{});
   int repeats = 0;
   for (int n = 0; n < 1000; ++n) {
@@ -73,13 +74,14 @@
     budget.OnFirstSend(customer, 10, kStart);
     repeats += budget.TrySpend(customer, 10, kStart) ? 1 : 0;
   }
-  // Each customer's own account would allow 1,000.
+  // The customers' own budgets would allow 1,000.
   CHECK(repeats <= 201);
 }
 
-TEST_CASE("where most calls fail, those that ran are not repeated") {
-  // A service ten hops down fails every call. Each hop above takes its budget
-  // for repeats, which add up to 2.6 times the load on what is failing.
+TEST_CASE("calls that ran are not retried while most calls fail") {
+  // Guards against retries by every hop above a service that fails all calls,
+  // ten hops down: their budgets add up to 2.6 times the load on the failing
+  // service.
   RetryBudget budget(RetryBudgetOptions{});
   CHECK_FALSE(budget.IsFutile(SendResult::kFailed));
   for (int n = 0; n < 100; ++n) {
@@ -87,7 +89,8 @@
   }
   CHECK(budget.IsFutile(SendResult::kFailed));
   CHECK(budget.IsFutile(SendResult::kBroken));
-  // The endpoint's own word that it did not run the call comes from next door.
+  // The endpoint itself states that it did not run the call, so this hop is the
+  // nearest to the failure.
   CHECK_FALSE(budget.IsFutile(SendResult::kShed));
   CHECK_FALSE(budget.IsFutile(SendResult::kNotConnected));
   for (int n = 0; n < 200; ++n) {
@@ -98,7 +101,7 @@
 
 constexpr std::size_t kEndpoints = 10;
 
-// The budgets of all hosts of a fleet that has been counted.
+// Returns the budgets of all hosts of a fleet whose size is known.
 std::vector<RetryBudget> MakeFleet(std::size_t hosts,
                                    double slack,
                                    Random& random) {
@@ -115,9 +118,10 @@
   return fleet;
 }
 
-// Guards against a fleet that repeats more the more hosts it has: a part of
-// the slack that is less than one repeat was rounded up by every host.
-TEST_CASE("what hosts save up together stays within the fleet's slack") {
+// Guards against a fleet whose retries grow with the number of hosts: every
+// host rounded up a share of the slack that is less than one retry.
+TEST_CASE(
+    "the slack used by all hosts together stays within the fleet's limit") {
   constexpr double kSlack = 62;
   Random random(20261203);
   for (const std::size_t hosts : {13UL, 17UL, 60UL, 586UL, 1200UL}) {
@@ -139,12 +143,13 @@
   }
 }
 
-// Sends and repeats of a whole fleet, by tenths of a second.
+// Sends and retries of a whole fleet, in steps of a tenth of a second.
 struct FleetLoad {
   std::vector<double> sends;
   std::vector<double> repeats;
 
-  // Of the window that ends before `end`; what comes before the start is none.
+  // Returns the sum over the window that ends before `end`; steps before the
+  // start count as zero.
   static double Sum(const std::vector<double>& by_step, std::ptrdiff_t end) {
     constexpr std::ptrdiff_t kWindowSteps = 100;
     double sum = 0;
@@ -169,7 +174,7 @@
       rate = UniformBelow(random, 400);
       refused = UniformBelow(random, kWhole);
     }
-    // After the five seconds in which the hosts are counted.
+    // After the five seconds in which hosts learn the size of the fleet.
     const TimePoint now =
         kStart + std::chrono::seconds(6) + step * milliseconds(100);
     for (RetryBudget& budget : fleet) {
@@ -187,9 +192,9 @@
   return load;
 }
 
-// Guards against a storm of repeats while endpoints refuse calls, and against
-// repeats that are allowed and that nobody gets.
-TEST_CASE("repeats of all hosts keep the fleet's bound in every window") {
+// Guards against too many retries while endpoints refuse calls.
+TEST_CASE(
+    "retries of all hosts stay within the fleet's limit in every window") {
   constexpr double kPart = 0.2;
   constexpr double kSlackOfHost = 1.1;
   Random random(20261203);
@@ -209,9 +214,9 @@
   }
 }
 
-// Guards against callers refused for good although the fleet may repeat their
-// calls: hosts with a call a second kept one repeat at most and lost the rest.
-TEST_CASE("a host with few calls repeats what its calls have earned") {
+// Guards against callers that are refused although the fleet could retry their
+// calls: hosts with one call a second kept at most one retry and lost the rest.
+TEST_CASE("a host with few calls can use the retries that they earned") {
   RetryBudgetOptions options;
   options.service_percent = 20;
   options.fleet_slack = 640;
@@ -228,7 +233,7 @@
   CHECK_FALSE(budget.TrySpend(customer, 100, now));
 }
 
-TEST_CASE("repeats are scarce while many sends are refused unrun") {
+TEST_CASE("retries are scarce while many sends are refused without execution") {
   RetryBudget budget(RetryBudgetOptions{});
   for (int n = 0; n < 30; ++n) {
     budget.OnSendEnd(SendResult::kFailed);
@@ -244,7 +249,7 @@
   CHECK_FALSE(budget.AreScarce());
 }
 
-TEST_CASE("memory is bounded whatever customers come") {
+TEST_CASE("memory is bounded for any number of customers") {
   RetryBudgetOptions options;
   options.most_customers = 10;
   RetryBudget budget(options);
--- a/tests/policy/test_service_balancer.cc
+++ b/tests/policy/test_service_balancer.cc
@@ -50,8 +50,8 @@
          out.dispatches.end();
 }
 
-// Drives a balancer by a random schedule and checks after each event that
-// every call is in exactly one place: waiting, at an endpoint, or done.
+// Drives a balancer by a random schedule and checks after each event that every
+// call is in exactly one state: waiting, at an endpoint, or done.
 class RandomDrive {
  public:
   RandomDrive() : balancer_(Options(), 3) {
@@ -62,7 +62,7 @@
     for (int n = 0; n < steps; ++n) {
       Step();
     }
-    // Nothing new comes; everything must end by its deadline.
+    // No new calls are offered; all calls must end by their deadline.
     for (int n = 0; n < 400 && (!waiting_.empty() || !sent_.empty()); ++n) {
       now_ += milliseconds(5);
       if (!sent_.empty()) {
@@ -136,7 +136,7 @@
     sent_.erase(token);
     SendEnd end = EndOf(sent.dispatch, result);
     end.sends = sent.sends;
-    // Placed first, as the dispatcher does: the decisions may name it.
+    // Inserted first, as the dispatcher does: the decisions may contain it.
     waiting_.emplace(token, sent.offer);
     sends_[token] = sent.sends;
     const AfterSend after = balancer_.Finish(sent.offer, end, now_, out_);
@@ -182,8 +182,8 @@
   std::map<CallToken, int> sends_;
 };
 
-// A call that nobody takes for a while is not to wait for it in vain.
-TEST_CASE("where all endpoints state low limits a call is refused at once") {
+// Guards against calls that wait although no endpoint can accept them in time.
+TEST_CASE("a call is refused at once if all endpoints state low limits") {
   constexpr EndpointIndex kEndpoints = 4;
   ServiceBalancer balancer(BalancerOptions(), 3);
   balancer.SetService(Service(kEndpoints, 2), 400, kStart);
@@ -197,9 +197,11 @@
   CHECK(out.rejections[0].refusal == Refusal::kNoEndpoint);
 }
 
-// Guards against a limit that stands long after its end, because nobody asks an
-// endpoint that others make needless.
-TEST_CASE("an endpoint with a limit gets what it takes while others are free") {
+// Guards against a limit that is still in use long after its end, because no
+// request is sent to an endpoint while others are free.
+TEST_CASE(
+    "an endpoint with a limit gets the calls that it allows while others are "
+    "free") {
   constexpr EndpointIndex kLimited = 3;
   ServiceBalancer balancer(BalancerOptions(), 3);
   balancer.SetService(Service(4, 8), 1, kStart);
@@ -216,12 +218,13 @@
                     out);
     now += milliseconds(50);
   }
-  // Half of the limit is shared out: ten calls in twenty seconds on average.
+  // Half of the limit is divided among the hosts: ten calls in twenty seconds
+  // on average.
   CHECK(to_limited >= 4);
   CHECK(to_limited <= 20);
 }
 
-TEST_CASE("of several endpoints the one without a limit gets the calls") {
+TEST_CASE("calls go to an endpoint without a limit") {
   ServiceBalancer balancer(BalancerOptions(), 3);
   balancer.SetService(Service(2, 8), 400, kStart);
   balancer.OnSignals(1, {.rate_limit = 1}, kStart, kStart);
@@ -231,7 +234,7 @@
   CHECK(out.dispatches[0].endpoint == 0);
 }
 
-TEST_CASE("no call is lost or answered twice, and all end by their deadline") {
+TEST_CASE("no call is lost or completed twice, and all end by their deadline") {
   const bool held = rc::check([] {
     RandomDrive drive;
     drive.Run(*rc::gen::inRange(1, 150));
@@ -239,10 +242,10 @@
   CHECK(held);
 }
 
-TEST_CASE("without a usable endpoint calls wait a little, then hear so") {
+TEST_CASE("without a usable endpoint calls wait briefly and are then refused") {
   // All endpoints leave the list for a moment, as in a restart of the service.
-  // Refusing at once would turn each such moment into errors; waiting for the
-  // deadline would hold callers for seconds when the service is gone.
+  // Immediate refusals would turn each such moment into errors; waiting until
+  // the deadline would hold callers for seconds when the service is gone.
   ServiceBalancer balancer({}, 1);
   balancer.SetService(Service(0, 1), 1, kStart);
   Decisions out;
@@ -264,7 +267,7 @@
   CHECK(Dispatched(out, 3));
 }
 
-TEST_CASE("a shed answer is tried elsewhere, once the budget allows it") {
+TEST_CASE("a shed call is retried elsewhere within the budget") {
   ServiceBalancer balancer({}, 1);
   balancer.SetService(Service(2, 6), 1, kStart);
   Decisions out;
@@ -279,14 +282,14 @@
   SendEnd second = EndOf(out.dispatches[0], SendResult::kShed);
   second.sends = 2;
   out.clear();
-  // The one repeat that a new customer has is spent.
+  // The single retry of a new customer is spent.
   CHECK(balancer.Finish(offer, second, kStart, out) == AfterSend::kDone);
   CHECK(balancer.Status(kStart).retries_granted == 1);
   CHECK(balancer.Status(kStart).retries_withheld == 1);
 }
 
-TEST_CASE("only the hop nearest the failure sends again") {
-  // Ten hops that each send three times turn one failing call into 59,049.
+TEST_CASE("only the hop nearest to the failure retries") {
+  // Ten hops with three sends each turn one failing call into 59,049 sends.
   ServiceBalancer balancer({}, 1);
   balancer.SetService(Service(2, 6), 1, kStart);
   Decisions out;
@@ -304,7 +307,7 @@
   CHECK(balancer.Finish(offer, end, kStart, out) == AfterSend::kDone);
 }
 
-TEST_CASE("one call is sent three times at most, whatever the budget") {
+TEST_CASE("one call is sent at most three times under any budget") {
   ServiceBalancer balancer({}, 1);
   balancer.SetService(Service(4, 6), 1, kStart);
   Decisions out;
@@ -331,9 +334,11 @@
   CHECK(sends == 3);
 }
 
-TEST_CASE("a call is sent although every report says full for ever") {
-  // Endpoints report a full queue and go on doing so. Every host waits for a
-  // better report, which would come with an answer, which needs a send.
+TEST_CASE(
+    "a call is sent although every report permanently shows a full endpoint") {
+  // Guards against hosts that wait forever while endpoints keep reporting a
+  // full queue: a better report comes only with an answer, which requires a
+  // send.
   ServiceBalancer balancer({}, 1);
   balancer.SetService(Service(2, 6), 15, kStart);
   Decisions out;
@@ -359,7 +364,7 @@
   CHECK(Dispatched(out, 2));
 }
 
-TEST_CASE("a call is not sent again where its deadline cannot be met") {
+TEST_CASE("a call is not retried if its deadline cannot be met") {
   ServiceBalancer balancer({}, 1);
   balancer.SetService(Service(2, 6), 1, kStart);
   Decisions out;
@@ -371,9 +376,9 @@
   CHECK(after == AfterSend::kDone);
 }
 
-TEST_CASE("bulk leaves slots for urgent calls and takes them when owed") {
-  // Six report calls would fill the only endpoint and a dock command would
-  // wait a whole report. Bulk stops while a slot is left.
+TEST_CASE("bulk leaves slots for urgent calls unless it has a credit") {
+  // Six bulk calls would fill the only endpoint, and an urgent call would wait
+  // for a whole bulk execution. Bulk stops while one slot is left.
   ServiceBalancer balancer({}, 1);
   balancer.SetService(Service(1, 6), 1, kStart);
   Decisions out;
@@ -384,7 +389,8 @@
   CHECK(balancer.waiting() > 0);
   balancer.Offer(OfferOf(9, Urgency::kUrgent, kStart), kStart, out);
   CHECK(Dispatched(out, 9));
-  // Nothing ends here, yet the pause since its last dispatch owes bulk one.
+  // No call has ended, but the time since the last bulk dispatch earns a credit
+  // for one.
   out.clear();
   balancer.Tick(kStart + seconds(1), out);
   CHECK(out.dispatches.size() == 1);
--- a/tests/policy/test_shared_rate.cc
+++ b/tests/policy/test_shared_rate.cc
@@ -14,7 +14,7 @@
 constexpr TimePoint kStart{std::chrono::hours(1)};
 constexpr seconds kLength(400);
 
-TEST_CASE("a host that may send whenever it likes keeps to its share") {
+TEST_CASE("a host that always has calls keeps to its share") {
   const bool ok = rc::check([] {
     const double share = *rc::gen::inRange(1, 500) / 100.0;
     SharedRate rate(*rc::gen::arbitrary<std::uint64_t>());
@@ -33,9 +33,9 @@
   CHECK(ok);
 }
 
-// Guards against a host that ends because an endpoint states a limit without
-// measure.
-TEST_CASE("a share beyond all measure is no bound") {
+// Guards against a host that crashes because an endpoint states an extremely
+// large limit.
+TEST_CASE("an extremely large share does not limit requests") {
   SharedRate rate(7);
   for (const double share : {1e9, 1e12, 1e300}) {
     CHECK(rate.Allows(share, kStart));
@@ -43,8 +43,8 @@
   }
 }
 
-// A caller that is told to come back earlier would be refused again.
-TEST_CASE("the next allowed moment is the first one at which it allows") {
+// A caller that returned before this time would be refused again.
+TEST_CASE("the next allowed time is the first one that is allowed") {
   const bool ok = rc::check([] {
     const double share = *rc::gen::inRange(1, 300) / 100.0;
     SharedRate rate(*rc::gen::arbitrary<std::uint64_t>());
