--- a/policy/admission_queue.cc
+++ b/policy/admission_queue.cc
@@ -33,7 +33,7 @@
   return waiting;
 }
 
-WaitingCall AdmissionQueue::TakeOut(CallToken token) {
+WaitingCall AdmissionQueue::Extract(CallToken token) {
   const auto it = calls_.find(token);
   WaitingCall call = std::move(it->second);
   calls_.erase(it);
@@ -49,8 +49,8 @@
   refused.push_back({token, refusal});
 }
 
-bool AdmissionQueue::MakeRoomOfOwn(const CallOffer& offer,
-                                   std::vector<Rejection>& refused) {
+bool AdmissionQueue::EvictOwnCall(const CallOffer& offer,
+                                  std::vector<Rejection>& refused) {
   // Without this, a customer's own bulk calls (a nightly report) fill its part
   // of the queue and its urgent calls are refused.
   for (std::size_t n = kUrgencyCount - 1;
@@ -63,8 +63,8 @@
   return false;
 }
 
-bool AdmissionQueue::MakeRoomOfAll(const CallOffer& offer,
-                                   std::vector<Rejection>& refused) {
+bool AdmissionQueue::EvictAnyCall(const CallOffer& offer,
+                                  std::vector<Rejection>& refused) {
   for (std::size_t n = kUrgencyCount - 1;
        n > static_cast<std::size_t>(offer.urgency); --n) {
     if (const auto token = classes_[n].queue.NewestOfLongest()) {
@@ -86,11 +86,11 @@
   const bool bounded = offer.waiting_limit > 0;
   if (bounded &&
       std::cmp_greater_equal(WaitingOf(offer.customer), offer.waiting_limit) &&
-      !MakeRoomOfOwn(offer, refused)) {
+      !EvictOwnCall(offer, refused)) {
     refused.push_back({offer.token, Refusal::kQueueFull});
     return;
   }
-  if (size() >= options_.most_waiting && !MakeRoomOfAll(offer, refused)) {
+  if (size() >= options_.most_waiting && !EvictAnyCall(offer, refused)) {
     refused.push_back({offer.token, Refusal::kQueueFull});
     return;
   }
@@ -106,7 +106,7 @@
   if (!Contains(token)) {
     return false;
   }
-  const WaitingCall call = TakeOut(token);
+  const WaitingCall call = Extract(token);
   UrgencyClass& urgency_class = ClassOf(call.offer.urgency);
   urgency_class.queue.Remove(call.offer.customer, call.offer.arrival, token);
   if (urgency_class.queue.empty()) {
@@ -144,7 +144,7 @@
 
 WaitingCall AdmissionQueue::Take(Urgency urgency) {
   UrgencyClass& taken = ClassOf(urgency);
-  WaitingCall call = TakeOut(taken.queue.PopHead());
+  WaitingCall call = Extract(taken.queue.PopHead());
   OnDirectDispatch(urgency);
   return call;
 }
--- a/policy/admission_queue.h
+++ b/policy/admission_queue.h
@@ -106,12 +106,12 @@
   // Evicts a call in favor of the new one: the first within the customer's own
   // limit, the second within the limit of the queue. Returns false if no call
   // may be evicted for it.
-  bool MakeRoomOfOwn(const CallOffer& offer, std::vector<Rejection>& refused);
-  bool MakeRoomOfAll(const CallOffer& offer, std::vector<Rejection>& refused);
+  bool EvictOwnCall(const CallOffer& offer, std::vector<Rejection>& refused);
+  bool EvictAnyCall(const CallOffer& offer, std::vector<Rejection>& refused);
   void Refuse(CallToken token,
               Refusal refusal,
               std::vector<Rejection>& refused);
-  WaitingCall TakeOut(CallToken token);
+  WaitingCall Extract(CallToken token);
 
   AdmissionOptions options_;
   std::unordered_map<CallToken, WaitingCall> calls_;
--- a/policy/baseline_pickers.cc
+++ b/policy/baseline_pickers.cc
@@ -10,7 +10,7 @@
   return UniformBelow(random, static_cast<std::uint32_t>(view.size()));
 }
 
-double CallsLastSeen(const EndpointRecord& record) {
+double LastKnownCalls(const EndpointRecord& record) {
   return record.estimate.others_reported() + record.estimate.own_in_flight();
 }
 
@@ -44,8 +44,8 @@
                                                     Random& random) {
   const std::size_t first = RandomPosition(view, random);
   const std::size_t second = RandomPosition(view, random);
-  const bool first_is_better = CallsLastSeen(view.RecordAt(first)) <=
-                               CallsLastSeen(view.RecordAt(second));
+  const bool first_is_better = LastKnownCalls(view.RecordAt(first)) <=
+                               LastKnownCalls(view.RecordAt(second));
   return view.IndexAt(first_is_better ? first : second);
 }
 
--- a/policy/call_outcome.cc
+++ b/policy/call_outcome.cc
@@ -33,25 +33,25 @@
   return chart;
 }
 
-void CallOutcome::Follow(CallEvent event) {
+void CallOutcome::ApplyEvent(CallEvent event) {
   const auto next = GetCallChart().Next(state_, event);
   if (!next) {
-    confused_ = true;
+    has_invalid_step_ = true;
     return;
   }
   state_ = *next;
 }
 
 void CallOutcome::OnPlaced() {
-  Follow(CallEvent::kPlaced);
+  ApplyEvent(CallEvent::kPlaced);
 }
 
 void CallOutcome::OnRefused() {
-  Follow(CallEvent::kRefused);
+  ApplyEvent(CallEvent::kRefused);
 }
 
 void CallOutcome::OnWrote() {
-  Follow(CallEvent::kWrote);
+  ApplyEvent(CallEvent::kWrote);
 }
 
 void CallOutcome::OnSendEnd(SendResult result) {
@@ -59,13 +59,13 @@
   const bool connecting = state_ == CallState::kConnecting ||
                           state_ == CallState::kConnectingUnsure;
   if (connecting && event != CallEvent::kNotConnected) {
-    Follow(CallEvent::kWrote);
+    ApplyEvent(CallEvent::kWrote);
   }
-  Follow(event);
+  ApplyEvent(event);
 }
 
 bool CallOutcome::MaySendAgain() const {
-  if (confused_) {
+  if (has_invalid_step_) {
     return false;
   }
   if (GetCallChart().Next(state_, CallEvent::kSendAgain)) {
@@ -76,17 +76,17 @@
 
 void CallOutcome::OnSentAgain() {
   if (!MaySendAgain()) {
-    confused_ = true;
+    has_invalid_step_ = true;
     return;
   }
   const bool clear = state_ == CallState::kClear;
-  Follow(clear ? CallEvent::kSendAgain : CallEvent::kRepeat);
+  ApplyEvent(clear ? CallEvent::kSendAgain : CallEvent::kRepeat);
 }
 
 void CallOutcome::OnGivenUp() {
   // In a final state, an answer has ended the call already.
   if (!GetCallChart().IsFinal(state_)) {
-    Follow(CallEvent::kGiveUp);
+    ApplyEvent(CallEvent::kGiveUp);
   }
 }
 
@@ -97,7 +97,8 @@
   const bool nothing_ran = state_ == CallState::kNotRun ||
                            state_ == CallState::kClear ||
                            state_ == CallState::kWaiting;
-  return nothing_ran && !confused_ ? Outcome::kNotRun : Outcome::kUnknown;
+  return nothing_ran && !has_invalid_step_ ? Outcome::kNotRun
+                                           : Outcome::kUnknown;
 }
 
 }  // namespace damasktack
--- a/policy/call_outcome.h
+++ b/policy/call_outcome.h
@@ -95,11 +95,11 @@
   CallState state() const { return state_; }
 
  private:
-  void Follow(CallEvent event);
+  void ApplyEvent(CallEvent event);
 
   bool idempotent_;
   // A step was reported that the chart does not define.
-  bool confused_ = false;
+  bool has_invalid_step_ = false;
   CallState state_ = CallState::kWaiting;
 };
 
--- a/policy/caller_times.h
+++ b/policy/caller_times.h
@@ -16,21 +16,21 @@
 class CallerTimes {
  public:
   // Records that a caller of the route allows `asked` for its call.
-  void Note(const CustomerId& route, Duration asked, TimePoint now);
+  void Record(const CustomerId& route, Duration asked, TimePoint now);
   // Returns whether a caller that allows `asked` is a returning one.
   bool HasComeBack(const CustomerId& route, Duration asked) const;
 
-  std::size_t routes() const { return longest_.size(); }
+  std::size_t routes() const { return max_allowances_.size(); }
 
  private:
   // Longest allowance in the current span and in the span before it.
-  struct Longest {
+  struct MaxAllowance {
     TimePoint since;
     Duration now{};
     Duration before{};
   };
 
-  std::unordered_map<CustomerId, Longest> longest_;
+  std::unordered_map<CustomerId, MaxAllowance> max_allowances_;
 };
 
 }  // namespace damasktack
--- a/policy/cold_allowance.h
+++ b/policy/cold_allowance.h
@@ -22,17 +22,17 @@
 
   // Stores the latest statement of how long the endpoint stays cold, and its
   // source.
-  void OnCold(ColdWord word, TimePoint until, TimePoint now) {
+  void OnCold(ColdWord source, TimePoint until, TimePoint now) {
     if (until != cold_until_) {
-      word_ = word;
-      told_at_ = now;
+      source_ = source;
+      stated_at_ = now;
     }
     cold_until_ = until;
   }
   bool IsCold(TimePoint now) const { return now < cold_until_; }
   TimePoint cold_until() const { return cold_until_; }
-  ColdWord word() const { return word_; }
-  TimePoint told_at() const { return told_at_; }
+  ColdWord source() const { return source_; }
+  TimePoint stated_at() const { return stated_at_; }
 
   // For a host with a host number: its quota at the endpoint.
   SeatTurns& turns() { return turns_; }
@@ -49,8 +49,8 @@
 
  private:
   TimePoint cold_until_;
-  ColdWord word_ = ColdWord::kList;
-  TimePoint told_at_;
+  ColdWord source_ = ColdWord::kList;
+  TimePoint stated_at_;
   SeatTurns turns_;
   SharedRate rate_;
 };
--- a/policy/cold_endpoints.cc
+++ b/policy/cold_endpoints.cc
@@ -12,10 +12,10 @@
 // Fraction of the rate that is divided among the hosts. If all hosts start to
 // have calls at the same moment, the calls of the windows in progress and of
 // the next windows fall within one second.
-constexpr double kSharedOut = 0.5;
+constexpr double kAllocatedFraction = 0.5;
 // Fraction of the limit that is handed out as quota: two hosts use the same
 // unit while one of them has not learned yet that it lost its host number.
-constexpr double kSharedTurns = 0.5;
+constexpr double kQuotaFraction = 0.5;
 // Calls below which an endpoint counts as idle; decayed estimates are not whole
 // numbers.
 constexpr double kIdleCalls = 0.5;
@@ -34,13 +34,13 @@
 }
 
 void ColdEndpoints::SetSeat(const FleetSeat& seat) {
-  seat_ = seat;
+  host_number_ = seat;
   DrawAllTurns();
 }
 
 void ColdEndpoints::DrawAllTurns() {
   for (EndpointIndex n = 0; n < ids_.size(); ++n) {
-    allowances_[n].turns().Draw(ids_[n], Turns(), seat_);
+    allowances_[n].turns().Draw(ids_[n], Turns(), host_number_);
   }
 }
 
@@ -49,7 +49,7 @@
     return 0;
   }
   const double most = rate_ * options_.overshoot + options_.slack;
-  return static_cast<int>(most * kSharedTurns);
+  return static_cast<int>(most * kQuotaFraction);
 }
 
 // The endpoints of a zone have lost their caches when its drain ends, but the
@@ -65,7 +65,7 @@
     const std::string names = host_.text() + spec.id.text();
     allowance = ColdAllowance(XXH3_64bits(names.data(), names.size()));
     ids_[index] = spec.id;
-    allowance.turns().Draw(spec.id, Turns(), seat_);
+    allowance.turns().Draw(spec.id, Turns(), host_number_);
   }
   allowance.OnCold(ColdWord::kList,
                    std::max(allowance.cold_until(), spec.cold_until), now);
@@ -77,7 +77,7 @@
 }
 
 double ColdEndpoints::Share(TimePoint now) const {
-  return rate_ * kSharedOut / fleet_.Count(now);
+  return rate_ * kAllocatedFraction / fleet_.Count(now);
 }
 
 bool ColdEndpoints::IsAllowed(EndpointIndex index, TimePoint now) const {
@@ -102,7 +102,7 @@
                                TimePoint now) {
   ColdAllowance& allowance = allowances_[index];
   TimePoint until = now + cold_for;
-  if (asked_at < allowance.told_at()) {
+  if (asked_at < allowance.stated_at()) {
     until = std::max(until, allowance.cold_until());
   }
   allowance.OnCold(ColdWord::kProbe, until, now);
@@ -115,10 +115,10 @@
   }
   const ColdAllowance& it = allowances_[index];
   ColdBasis basis;
-  basis.word = it.word();
-  basis.word_age = now - it.told_at();
+  basis.word = it.source();
+  basis.word_age = now - it.stated_at();
   basis.left = it.cold_until() - now;
-  basis.seat = seat_;
+  basis.seat = host_number_;
   basis.hosts = fleet_.Count(now);
   return basis;
 }
--- a/policy/cold_endpoints.h
+++ b/policy/cold_endpoints.h
@@ -83,7 +83,7 @@
   // Quota at each endpoint over all hosts, in calls per window; 0 if the
   // endpoint tolerates too few calls to be divided in this way.
   int Turns() const;
-  bool GoesByTurns() const { return seat_.IsKnown() && Turns() > 0; }
+  bool GoesByTurns() const { return host_number_.IsKnown() && Turns() > 0; }
   void DrawAllTurns();
   // Whether this host's quota or share allows a call, regardless of the
   // endpoint's report.
@@ -95,7 +95,7 @@
   const ColdBoundOptions options_;
   std::vector<ColdAllowance> allowances_;
   std::vector<EndpointId> ids_;
-  FleetSeat seat_;
+  FleetSeat host_number_;
   Duration cold_time_{};
   double rate_ = 0;
   FleetSize fleet_;
--- a/policy/cold_pace.cc
+++ b/policy/cold_pace.cc
@@ -10,7 +10,7 @@
 constexpr double kSampleWeight = 1.0 / 8;
 // Upper bound on the slowdown of one execution. Beyond it the call waited in a
 // queue or failed, which is unrelated to the start.
-constexpr double kMostPace = 4;
+constexpr double kMaxSlowdown = 4;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
   }
   const double pace =
       static_cast<double>(took.count()) / static_cast<double>(usual.count());
-  value_ += (std::clamp(pace, 1.0, kMostPace) - value_) * kSampleWeight;
+  value_ += (std::clamp(pace, 1.0, kMaxSlowdown) - value_) * kSampleWeight;
 }
 
 }  // namespace damasktack
--- a/policy/crash_ledger.cc
+++ b/policy/crash_ledger.cc
@@ -11,17 +11,18 @@
 
 // Number of recently cleared requests that are kept: an observation may arrive
 // after the message that clears its request.
-constexpr std::size_t kMostCleared = 64;
+constexpr std::size_t kMaxCleared = 64;
 // A trial without a result for this long is given to another call.
-constexpr Duration kTrialTime = std::chrono::seconds(5);
-constexpr std::uint32_t kStretchSteps = 1000;
+constexpr Duration kTrialTimeout = std::chrono::seconds(5);
+constexpr std::uint32_t kFactorSteps = 1000;
 
 }  // namespace
 
 CrashLedger::CrashLedger(CrashLedgerOptions options, std::uint64_t seed)
     : options_(options) {
   Random random(seed);
-  stretch_ = 1 + 0.5 * UniformBelow(random, kStretchSteps) / kStretchSteps;
+  quarantine_factor_ =
+      1 + 0.5 * UniformBelow(random, kFactorSteps) / kFactorSteps;
 }
 
 bool CrashLedger::Crash::Has(RequestFingerprint request) const {
@@ -32,7 +33,7 @@
   const bool has_room = crash.suspects.size() < options_.most_suspects;
   if (has_room && !crash.Has(request)) {
     crash.suspects.push_back(request);
-    ++mentions_[request];
+    ++crashes_by_suspect_[request];
   }
 }
 
@@ -40,9 +41,9 @@
   if (std::erase(crash.suspects, request) == 0) {
     return false;
   }
-  const auto it = mentions_.find(request);
+  const auto it = crashes_by_suspect_.find(request);
   if (--it->second == 0) {
-    mentions_.erase(it);
+    crashes_by_suspect_.erase(it);
   }
   return true;
 }
@@ -148,7 +149,7 @@
   if (!IsSuspect(cleared.request)) {
     return 0;
   }
-  trials_.erase(cleared.request);
+  last_trials_.erase(cleared.request);
   std::size_t confirmed = 0;
   for (Crash& it : crashes_) {
     if (it.at <= cleared.at && RemoveSuspect(it, cleared.request)) {
@@ -160,7 +161,7 @@
   }
   RemoveCrashes(
       [](const Crash& it) { return it.is_confirmed && it.suspects.empty(); });
-  if (cleared_.size() >= kMostCleared) {
+  if (cleared_.size() >= kMaxCleared) {
     cleared_.pop_front();
   }
   cleared_.push_back(cleared);
@@ -210,7 +211,8 @@
        n < crashes && time < options_.longest_quarantine; ++n) {
     time *= 2;
   }
-  return Scaled(std::min(time, options_.longest_quarantine), stretch_);
+  return Scaled(std::min(time, options_.longest_quarantine),
+                quarantine_factor_);
 }
 
 RequestJudgement CrashLedger::Judge(RequestFingerprint request, TimePoint now) {
@@ -226,14 +228,14 @@
   if (now < until) {
     return {Suspicion::kQuarantined, until - now};
   }
-  const auto trial = trials_.find(request);
-  if (trial != trials_.end() && now < trial->second + kTrialTime) {
-    return {Suspicion::kQuarantined, trial->second + kTrialTime - now};
+  const auto trial = last_trials_.find(request);
+  if (trial != last_trials_.end() && now < trial->second + kTrialTimeout) {
+    return {Suspicion::kQuarantined, trial->second + kTrialTimeout - now};
   }
-  if (trials_.size() >= options_.most_crashes) {
-    trials_.clear();
+  if (last_trials_.size() >= options_.most_crashes) {
+    last_trials_.clear();
   }
-  trials_[request] = now;
+  last_trials_[request] = now;
   return {Suspicion::kSuspected, {}, true};
 }
 
--- a/policy/crash_ledger.h
+++ b/policy/crash_ledger.h
@@ -143,10 +143,10 @@
   };
 
   bool IsSuspect(RequestFingerprint request) const {
-    return mentions_.contains(request);
+    return crashes_by_suspect_.contains(request);
   }
-  // AddSuspect, RemoveSuspect and RemoveCrashes keep `mentions_` consistent
-  // with the crashes.
+  // AddSuspect, RemoveSuspect and RemoveCrashes keep `crashes_by_suspect_`
+  // consistent with the crashes.
   void AddSuspect(Crash& crash, RequestFingerprint request);
   bool RemoveSuspect(Crash& crash, RequestFingerprint request);
   template <typename Predicate>
@@ -167,14 +167,14 @@
   const CrashLedgerOptions options_;
   // Factor between 1 and 1.5 on the quarantine time. It differs between hosts,
   // so that the first trial is over before the next host tries.
-  double stretch_ = 1;
+  double quarantine_factor_ = 1;
   std::deque<Crash> crashes_;
   // Number of crashes for each suspect. While there are suspects, every request
   // is looked up here, and hardly any is found.
-  std::unordered_map<RequestFingerprint, std::size_t> mentions_;
+  std::unordered_map<RequestFingerprint, std::size_t> crashes_by_suspect_;
   std::deque<ClearedRequest> cleared_;
   // Time of the last trial of each request on this host.
-  std::unordered_map<RequestFingerprint, TimePoint> trials_;
+  std::unordered_map<RequestFingerprint, TimePoint> last_trials_;
 };
 
 }  // namespace damasktack
--- a/policy/ejection.cc
+++ b/policy/ejection.cc
@@ -7,39 +7,39 @@
 namespace {
 
 // Minimum of recent sends, and of recent answers, for a verdict.
-constexpr double kFewestEnds = 4;
-constexpr double kFewestAnswers = 8;
-constexpr double kErrorShare = 0.5;
-constexpr double kErrorShareAboveOthers = 0.3;
-constexpr double kSlowness = 4;
+constexpr double kMinSends = 4;
+constexpr double kMinAnswers = 8;
+constexpr double kMinErrorShare = 0.5;
+constexpr double kMinErrorShareAboveOthers = 0.3;
+constexpr double kMinSlowness = 4;
 
-constexpr std::size_t kEndpointsForOneEjected = 3;
+constexpr std::size_t kEndpointsPerEjection = 3;
 
-constexpr Duration kFirstEjection = std::chrono::seconds(1);
-constexpr Duration kLongestEjection = std::chrono::seconds(30);
-constexpr std::int32_t kMostDoublings = 5;
+constexpr Duration kBaseEjectionTime = std::chrono::seconds(1);
+constexpr Duration kMaxEjectionTime = std::chrono::seconds(30);
+constexpr std::int32_t kMaxDoublings = 5;
 
 }  // namespace
 
 std::string_view OutlierReason(const HealthComparison& health) {
-  if (health.ends >= kFewestEnds && health.error_share >= kErrorShare &&
+  if (health.ends >= kMinSends && health.error_share >= kMinErrorShare &&
       health.error_share - health.error_share_of_others >=
-          kErrorShareAboveOthers) {
+          kMinErrorShareAboveOthers) {
     return "errors";
   }
-  if (health.answers >= kFewestAnswers && health.slowness >= kSlowness) {
+  if (health.answers >= kMinAnswers && health.slowness >= kMinSlowness) {
     return "slow";
   }
   return {};
 }
 
 std::size_t MostEjected(std::size_t live) {
-  return live / kEndpointsForOneEjected;
+  return live / kEndpointsPerEjection;
 }
 
 Duration EjectionTime(std::int32_t ejections) {
-  const std::int32_t doublings = std::clamp(ejections - 1, 0, kMostDoublings);
-  return std::min(kFirstEjection * (1 << doublings), kLongestEjection);
+  const std::int32_t doublings = std::clamp(ejections - 1, 0, kMaxDoublings);
+  return std::min(kBaseEjectionTime * (1 << doublings), kMaxEjectionTime);
 }
 
 }  // namespace damasktack
--- a/policy/ejection.h
+++ b/policy/ejection.h
@@ -25,7 +25,7 @@
 Duration EjectionTime(std::int32_t ejections);
 
 // Consecutive answers that complete a trial.
-inline constexpr std::int32_t kTrialAnswers = 3;
+inline constexpr std::int32_t kAnswersToPassTrial = 3;
 
 }  // namespace damasktack
 
--- a/policy/endpoint_estimate.cc
+++ b/policy/endpoint_estimate.cc
@@ -12,7 +12,7 @@
 // but one with a frozen report does. A low frozen figure, if trusted, would
 // attract every call for as long as it lasts. From the third repetition on, the
 // report keeps the age of the first, so that the estimate approaches the prior.
-constexpr std::int32_t kRepeatsBelieved = 1;
+constexpr std::int32_t kMaxTrustedRepeats = 1;
 
 }  // namespace
 
@@ -22,7 +22,7 @@
   repeats_ = repeated ? repeats_ + 1 : 0;
   has_report_ = true;
   received_at_ = now;
-  if (repeats_ > kRepeatsBelieved) {
+  if (repeats_ > kMaxTrustedRepeats) {
     return false;
   }
   total_ = total;
--- a/policy/endpoint_health.cc
+++ b/policy/endpoint_health.cc
@@ -8,13 +8,13 @@
 
 // Number of answers of median time credited to each endpoint, so that a few
 // slow answers are not conclusive.
-constexpr double kAnswersCredited = 4;
+constexpr double kPriorAnswers = 4;
 // Load per slot added if all sends are refused.
-constexpr double kLoadOfRefusals = 8;
+constexpr double kRefusalPenalty = 8;
 // Slowdown relative to the others below which an endpoint is not penalized:
 // kinds of calls differ by up to this factor.
-constexpr double kSlownessAllowed = 2;
-constexpr double kLoadOfSlowness = 0.5;
+constexpr double kToleratedSlowness = 2;
+constexpr double kSlownessPenalty = 0.5;
 
 // One send without error is added, so that a single error does not count as a
 // fraction of 1.
@@ -28,7 +28,7 @@
 double MeanTime(double time, double answers) {
   time = std::max(time, 0.0);
   answers = std::max(answers, 0.0);
-  return (time + kAnswersCredited) / (answers + kAnswersCredited);
+  return (time + kPriorAnswers) / (answers + kPriorAnswers);
 }
 
 bool IsError(SendResult result) {
@@ -72,8 +72,8 @@
 double HealthComparison::Penalty() const {
   const double refusals =
       std::max(0.0, refusal_share - refusal_share_of_others);
-  const double slow = std::max(0.0, slowness - kSlownessAllowed);
-  return kLoadOfRefusals * refusals + kLoadOfSlowness * slow;
+  const double slow = std::max(0.0, slowness - kToleratedSlowness);
+  return kRefusalPenalty * refusals + kSlownessPenalty * slow;
 }
 
 HealthComparison Compare(const EndpointHealth& endpoint,
--- a/policy/endpoint_health.h
+++ b/policy/endpoint_health.h
@@ -30,14 +30,14 @@
   double answer_time(TimePoint now) const { return answer_time_.Value(now); }
 
  private:
-  static constexpr Duration kMemory = std::chrono::seconds(2);
+  static constexpr Duration kTimeConstant = std::chrono::seconds(2);
 
   bool ever_ended_ = false;
-  DecayingSum ends_{kMemory};
-  DecayingSum errors_{kMemory};
-  DecayingSum sheds_{kMemory};
-  DecayingSum answers_{kMemory};
-  DecayingSum answer_time_{kMemory};
+  DecayingSum ends_{kTimeConstant};
+  DecayingSum errors_{kTimeConstant};
+  DecayingSum sheds_{kTimeConstant};
+  DecayingSum answers_{kTimeConstant};
+  DecayingSum answer_time_{kTimeConstant};
 };
 
 // Compares one endpoint's health with that of the other endpoints of its
--- a/policy/endpoint_preference.h
+++ b/policy/endpoint_preference.h
@@ -54,29 +54,31 @@
 
   // Returns the cost of choosing the endpoint, relative to the time of an
   // execution.
-  double Cost(EndpointIndex index) const { return places_[index].cost; }
+  double Cost(EndpointIndex index) const { return preferences_[index].cost; }
   // Returns whether the endpoint is in the first group of its zone or of the
   // other zones. Every endpoint is in the first group of some hosts of a fleet.
-  bool IsFirst(EndpointIndex index) const { return places_[index].is_first; }
+  bool IsFirst(EndpointIndex index) const {
+    return preferences_[index].is_first;
+  }
 
  private:
-  struct Drawn {
+  struct HashedEndpoint {
     std::uint64_t hash = 0;
     EndpointIndex index = 0;
 
-    auto operator<=>(const Drawn&) const = default;
+    auto operator<=>(const HashedEndpoint&) const = default;
   };
-  struct Place {
+  struct Preference {
     double cost = 0;
     bool is_first = false;
   };
 
-  void Rank(std::vector<Drawn>& drawn, bool other_zone);
+  void Rank(std::vector<HashedEndpoint>& drawn, bool other_zone);
   double NearCost(std::size_t group) const;
   double FurtherCost(std::size_t groups) const;
 
   EndpointPreferenceOptions options_;
-  std::vector<Place> places_;
+  std::vector<Preference> preferences_;
 };
 
 }  // namespace damasktack
--- a/policy/endpoint_restraints.cc
+++ b/policy/endpoint_restraints.cc
@@ -11,20 +11,19 @@
 
 // Fraction of a limit that is divided among the hosts: the random draws of
 // different hosts coincide now and then.
-constexpr double kSharedOut = 0.5;
+constexpr double kAllocatedFraction = 0.5;
 // Lower bound on the requests a second of all hosts together. An endpoint with
 // a limit of zero would otherwise never get a request again, and no host would
 // learn that the limit has ended.
-constexpr double kLeastRate = 0.1;
+constexpr double kMinFleetRate = 0.1;
 
 }  // namespace
 
 void EndpointRestraints::OnAdded(EndpointIndex index, const EndpointId& id) {
-  restraints_.resize(std::max<std::size_t>(restraints_.size(), index + 1));
+  limits_.resize(std::max<std::size_t>(limits_.size(), index + 1));
   const std::string names = host_.text() + id.text();
-  restraints_[index] = Restraint();
-  restraints_[index].schedule =
-      SharedRate(XXH3_64bits(names.data(), names.size()));
+  limits_[index] = EndpointLimit();
+  limits_[index].schedule = SharedRate(XXH3_64bits(names.data(), names.size()));
 }
 
 // An answer without a limit withdraws it only if its request was sent after the
@@ -34,12 +33,12 @@
                                   const EndpointSignals& signals,
                                   TimePoint asked_at,
                                   TimePoint now) {
-  Restraint& restraint = restraints_[index];
-  const bool is_taken_back = restraint.rate_limit && !signals.rate_limit &&
-                             asked_at >= restraint.limit_stated_at;
+  EndpointLimit& endpoint_limit = limits_[index];
+  const bool is_taken_back = endpoint_limit.rate_limit && !signals.rate_limit &&
+                             asked_at >= endpoint_limit.limit_stated_at;
   if (is_taken_back) {
-    restraint.rate_limit.reset();
-    restraint.limit_stated_at = now;
+    endpoint_limit.rate_limit.reset();
+    endpoint_limit.limit_stated_at = now;
   }
   OnProbeAnswer(index, signals, now);
 }
@@ -48,32 +47,33 @@
                                        const EndpointSignals& signals,
                                        TimePoint now) {
   if (signals.rest) {
-    TimePoint& until = restraints_[index].rest_until;
+    TimePoint& until = limits_[index].paused_until;
     until = std::max<TimePoint>(until, now + *signals.rest);
   }
   if (signals.rate_limit) {
-    restraints_[index].rate_limit = signals.rate_limit;
-    restraints_[index].limit_stated_at = now;
+    limits_[index].rate_limit = signals.rate_limit;
+    limits_[index].limit_stated_at = now;
   }
 }
 
 void EndpointRestraints::OnHeard(EndpointIndex index,
                                  std::optional<double> rate_limit,
                                  TimePoint stated_at) {
-  Restraint& restraint = restraints_[index];
-  if (stated_at > restraint.limit_stated_at) {
-    restraint.rate_limit = rate_limit;
-    restraint.limit_stated_at = stated_at;
+  EndpointLimit& endpoint_limit = limits_[index];
+  if (stated_at > endpoint_limit.limit_stated_at) {
+    endpoint_limit.rate_limit = rate_limit;
+    endpoint_limit.limit_stated_at = stated_at;
   }
 }
 
 double EndpointRestraints::Share(double rate_limit, TimePoint now) const {
-  return std::max(rate_limit * kSharedOut, kLeastRate) / fleet_.Count(now);
+  return std::max(rate_limit * kAllocatedFraction, kMinFleetRate) /
+         fleet_.Count(now);
 }
 
 bool EndpointRestraints::MayTakeOne(EndpointIndex index, TimePoint now) const {
-  const Restraint& it = restraints_[index];
-  if (now < it.rest_until) {
+  const EndpointLimit& it = limits_[index];
+  if (now < it.paused_until) {
     return false;
   }
   return !it.rate_limit || it.schedule.Allows(Share(*it.rate_limit, now), now);
@@ -82,8 +82,8 @@
 TimePoint EndpointRestraints::OpensAt(EndpointIndex index,
                                       TimePoint now,
                                       TimePoint latest) const {
-  const Restraint& it = restraints_[index];
-  const TimePoint rested = std::max(now, it.rest_until);
+  const EndpointLimit& it = limits_[index];
+  const TimePoint rested = std::max(now, it.paused_until);
   if (!it.rate_limit || rested >= latest) {
     return std::min(rested, latest);
   }
--- a/policy/endpoint_restraints.h
+++ b/policy/endpoint_restraints.h
@@ -50,14 +50,14 @@
                std::optional<double> rate_limit,
                TimePoint stated_at);
   void OnSend(EndpointIndex index, TimePoint now) {
-    restraints_[index].schedule.OnSend(now);
+    limits_[index].schedule.OnSend(now);
   }
 
   bool MayTakeOne(EndpointIndex index, TimePoint now) const;
   // Returns whether the endpoint has asked for a pause that has not ended: it
   // wants neither calls nor probes.
   bool IsResting(EndpointIndex index, TimePoint now) const {
-    return now < restraints_[index].rest_until;
+    return now < limits_[index].paused_until;
   }
   // Returns the first time at which the endpoint can accept a call; `latest` if
   // that is not earlier.
@@ -70,16 +70,16 @@
   // Returns the limit in requests a second from all hosts; null without a
   // limit.
   std::optional<double> rate_limit(EndpointIndex index) const {
-    return restraints_[index].rate_limit;
+    return limits_[index].rate_limit;
   }
 
  private:
-  struct Restraint {
+  struct EndpointLimit {
     std::optional<double> rate_limit;
     // Time at which the limit was last stated or withdrawn.
     TimePoint limit_stated_at;
     SharedRate schedule;
-    TimePoint rest_until;
+    TimePoint paused_until;
   };
 
   // This host's share of a limit, in requests a second.
@@ -87,7 +87,7 @@
 
   HostId host_;
   FleetSize fleet_;
-  std::vector<Restraint> restraints_;
+  std::vector<EndpointLimit> limits_;
 };
 
 }  // namespace damasktack
--- a/policy/endpoint_roster.cc
+++ b/policy/endpoint_roster.cc
@@ -14,14 +14,14 @@
 // answer written before the drain may arrive after the one that reports it; if
 // trusted, it would bring new calls to an endpoint that is about to stop.
 // Answers in flight are far younger than this.
-constexpr Duration kDrainHolds = std::chrono::seconds(2);
+constexpr Duration kDrainHoldTime = std::chrono::seconds(2);
 
 // Interval at which penalties are refreshed if no send ends.
-constexpr Duration kRefreshTime = std::chrono::milliseconds(100);
+constexpr Duration kRefreshInterval = std::chrono::milliseconds(100);
 
 // Returns whether the end of a send is evidence of the endpoint's health. A
 // cancelled send is not, nor is a shed: the endpoint is only full.
-bool TellsOfHealth(SendResult result) {
+bool IsHealthEvidence(SendResult result) {
   return result != SendResult::kCancelled && result != SendResult::kShed;
 }
 
@@ -47,8 +47,8 @@
   const EndpointIndex index = TakePlace();
   records_[index].state_since = now;
   if (taken_as_warm) {
-    Follow(index, EndpointEvent::kServes, "listed", now);
-    Follow(index, EndpointEvent::kWarmed, "listed", now);
+    ApplyEvent(index, EndpointEvent::kServes, "listed", now);
+    ApplyEvent(index, EndpointEvent::kWarmed, "listed", now);
   }
   Recount();
   return index;
@@ -61,18 +61,18 @@
   const bool was_leaving = record.listed_as_leaving;
   record.listed_as_leaving = !spec.MayTakeCalls();
   if (record.listed_as_leaving) {
-    Follow(index, EndpointEvent::kDrains,
-           spec.zone_drained ? "zone drained" : "list", now);
+    ApplyEvent(index, EndpointEvent::kDrains,
+               spec.zone_drained ? "zone drained" : "list", now);
   } else if (was_leaving && !record.drain_reported && !record.said_leaving) {
-    Follow(index, EndpointEvent::kServes, "list", now);
+    ApplyEvent(index, EndpointEvent::kServes, "list", now);
   }
-  KeepCeiling(now);
+  EnforceEjectionLimit(now);
 }
 
 void EndpointRoster::OnUnlisted(EndpointIndex index, TimePoint now) {
   records_[index].listed = false;
-  Follow(index, EndpointEvent::kUnlisted, "list", now);
-  KeepCeiling(now);
+  ApplyEvent(index, EndpointEvent::kUnlisted, "list", now);
+  EnforceEjectionLimit(now);
 }
 
 void EndpointRoster::OnReportedMode(EndpointIndex index,
@@ -82,20 +82,20 @@
   if (mode == EndpointMode::kDraining) {
     record.drain_reported = true;
     record.drain_reported_at = now;
-    Follow(index, EndpointEvent::kDrains, "report", now);
-    KeepCeiling(now);
+    ApplyEvent(index, EndpointEvent::kDrains, "report", now);
+    EnforceEjectionLimit(now);
     return;
   }
   const bool is_held =
-      record.drain_reported && now - record.drain_reported_at < kDrainHolds;
+      record.drain_reported && now - record.drain_reported_at < kDrainHoldTime;
   if (is_held || record.said_leaving) {
     return;
   }
   record.drain_reported = false;
   if (mode == EndpointMode::kStarting) {
-    Follow(index, EndpointEvent::kRestarts, "report", now);
+    ApplyEvent(index, EndpointEvent::kRestarts, "report", now);
   } else if (!record.listed_as_leaving) {
-    Follow(index, EndpointEvent::kServes, "report", now);
+    ApplyEvent(index, EndpointEvent::kServes, "report", now);
   }
 }
 
@@ -103,16 +103,16 @@
   if (std::exchange(records_[index].said_leaving, true)) {
     return;
   }
-  Follow(index, EndpointEvent::kDrains, "said that it leaves", now);
-  KeepCeiling(now);
+  ApplyEvent(index, EndpointEvent::kDrains, "said that it leaves", now);
+  EnforceEjectionLimit(now);
 }
 
 void EndpointRoster::OnMisdirected(EndpointIndex index, TimePoint now) {
   EndpointRecord& record = records_[index];
   record.drain_reported = true;
   record.drain_reported_at = now;
-  Follow(index, EndpointEvent::kDrains, "address taken over", now);
-  KeepCeiling(now);
+  ApplyEvent(index, EndpointEvent::kDrains, "address taken over", now);
+  EnforceEjectionLimit(now);
 }
 
 void EndpointRoster::OnSendEnd(EndpointIndex index,
@@ -139,9 +139,9 @@
       record.listed_as_leaving || record.drain_reported || record.said_leaving;
   if (result == SendResult::kAnswered && !record.estimate.has_report() &&
       !leaves) {
-    Follow(index, EndpointEvent::kServes, "answer", now);
+    ApplyEvent(index, EndpointEvent::kServes, "answer", now);
   }
-  if (TellsOfHealth(result)) {
+  if (IsHealthEvidence(result)) {
     EjectOutlier(index, health, now);
   }
 }
@@ -149,15 +149,15 @@
 void EndpointRoster::OnTrialEnd(EndpointIndex index,
                                 SendResult result,
                                 TimePoint now) {
-  if (!TellsOfHealth(result)) {
+  if (!IsHealthEvidence(result)) {
     return;
   }
   if (result != SendResult::kAnswered) {
     Eject(index, "trial failed", now);
     return;
   }
-  if (++records_[index].trial_answers >= kTrialAnswers) {
-    Follow(index, EndpointEvent::kTrialPassed, "trial passed", now);
+  if (++records_[index].trial_answers >= kAnswersToPassTrial) {
+    ApplyEvent(index, EndpointEvent::kTrialPassed, "trial passed", now);
   }
 }
 
@@ -178,7 +178,7 @@
 void EndpointRoster::Eject(EndpointIndex index,
                            std::string_view reason,
                            TimePoint now) {
-  if (!Follow(index, EndpointEvent::kFailing, reason, now)) {
+  if (!ApplyEvent(index, EndpointEvent::kFailing, reason, now)) {
     return;
   }
   EndpointRecord& record = records_[index];
@@ -187,10 +187,10 @@
   next_change_ = std::min(next_change_, record.ejected_until);
   // Other endpoints may have left during the failed trial, which lowers the
   // limit of ejections.
-  KeepCeiling(now);
+  EnforceEjectionLimit(now);
 }
 
-void EndpointRoster::ForgetHealth(EndpointRecord& record, TimePoint now) {
+void EndpointRoster::ResetHealth(EndpointRecord& record, TimePoint now) {
   service_health_.Forget(record.health, now);
   record.health = EndpointHealth();
   record.penalty = 0;
@@ -198,7 +198,7 @@
 
 void EndpointRoster::Advance(TimePoint now) {
   if (now >= next_refresh_) {
-    next_refresh_ = now + kRefreshTime;
+    next_refresh_ = now + kRefreshInterval;
     for (EndpointRecord& it : records_) {
       it.penalty = Compare(it.health, service_health_, now).Penalty();
     }
@@ -216,15 +216,15 @@
   EndpointRecord& record = records_[index];
   if (record.state == EndpointState::kEjected) {
     if (now >= record.ejected_until) {
-      Follow(index, EndpointEvent::kEjectionOver, "ejection over", now);
+      ApplyEvent(index, EndpointEvent::kEjectionOver, "ejection over", now);
     } else {
       next_change_ = std::min(next_change_, record.ejected_until);
     }
   }
   if (record.state == EndpointState::kWarming) {
-    const TimePoint warm_at = record.state_since + kWarmingTime;
+    const TimePoint warm_at = record.state_since + kSlowStartTime;
     if (now >= warm_at) {
-      Follow(index, EndpointEvent::kWarmed, "warm", now);
+      ApplyEvent(index, EndpointEvent::kWarmed, "warm", now);
       record.ejections = 0;
     } else {
       next_change_ = std::min(next_change_, warm_at);
@@ -234,7 +234,7 @@
 
 // Keeps the number of ejected endpoints within the limit, which falls when
 // endpoints leave. Those that have been ejected longest go on trial first.
-void EndpointRoster::KeepCeiling(TimePoint now) {
+void EndpointRoster::EnforceEjectionLimit(TimePoint now) {
   const std::size_t most = MostEjected(CountLive());
   while (CountIn(EndpointState::kEjected) > most) {
     const auto longest =
@@ -242,15 +242,15 @@
           return it.state == EndpointState::kEjected ? it.state_since
                                                      : TimePoint::max();
         });
-    Follow(static_cast<EndpointIndex>(longest - records_.begin()),
-           EndpointEvent::kEjectionOver, "too many are out", now);
+    ApplyEvent(static_cast<EndpointIndex>(longest - records_.begin()),
+               EndpointEvent::kEjectionOver, "too many are out", now);
   }
 }
 
-bool EndpointRoster::Follow(EndpointIndex index,
-                            EndpointEvent event,
-                            std::string_view reason,
-                            TimePoint now) {
+bool EndpointRoster::ApplyEvent(EndpointIndex index,
+                                EndpointEvent event,
+                                std::string_view reason,
+                                TimePoint now) {
   EndpointRecord& record = records_[index];
   const std::optional<EndpointState> next =
       GetEndpointChart().Next(record.state, event);
@@ -268,11 +268,11 @@
   record.reason = reason;
   if (record.state == EndpointState::kTrial) {
     // The sends before the ejection are no evidence for the trial.
-    ForgetHealth(record, now);
+    ResetHealth(record, now);
     record.trial_answers = 0;
   }
   if (record.state == EndpointState::kWarming) {
-    next_change_ = std::min(next_change_, now + kWarmingTime);
+    next_change_ = std::min(next_change_, now + kSlowStartTime);
   }
   Recount();
   return true;
--- a/policy/endpoint_roster.h
+++ b/policy/endpoint_roster.h
@@ -69,18 +69,18 @@
 
  private:
   // Applies the event. Returns whether the chart defines a transition for it.
-  bool Follow(EndpointIndex index,
-              EndpointEvent event,
-              std::string_view reason,
-              TimePoint now);
+  bool ApplyEvent(EndpointIndex index,
+                  EndpointEvent event,
+                  std::string_view reason,
+                  TimePoint now);
   void OnTrialEnd(EndpointIndex index, SendResult result, TimePoint now);
   void EjectOutlier(EndpointIndex index,
                     const HealthComparison& health,
                     TimePoint now);
   void Eject(EndpointIndex index, std::string_view reason, TimePoint now);
-  void ForgetHealth(EndpointRecord& record, TimePoint now);
+  void ResetHealth(EndpointRecord& record, TimePoint now);
   void AdvanceOne(EndpointIndex index, TimePoint now);
-  void KeepCeiling(TimePoint now);
+  void EnforceEjectionLimit(TimePoint now);
   std::size_t CountLive() const;
   std::size_t CountIn(EndpointState state) const {
     return in_state_[static_cast<std::size_t>(state)];
--- a/policy/endpoint_table.cc
+++ b/policy/endpoint_table.cc
@@ -16,15 +16,15 @@
 constexpr std::uint64_t kProbeBytes = 256;
 // Upper bound: above it, a full near endpoint would be preferred to a free one
 // in another zone.
-constexpr double kMostZoneCost = 1;
+constexpr double kMaxZoneCost = 1;
 // Time without calls after which a service needs no fresh reports.
-constexpr Duration kBusyTime = std::chrono::seconds(1);
+constexpr Duration kIdleTimeout = std::chrono::seconds(1);
 
 }  // namespace
 
 EndpointTable::EndpointTable(EndpointTableOptions options)
     : options_(std::move(options)),
-      restraints_(options_.host),
+      limits_(options_.host),
       picker_(MakePicker(options_.picker).value_or(ChosenPicker())) {}
 
 void EndpointTable::SetService(const ServiceSpec& service,
@@ -32,7 +32,7 @@
                                TimePoint now) {
   hosts_ = std::max<std::int64_t>(hosts, 1);
   budget_.SetRate(service.probes_per_second, hosts_, now);
-  restraints_.SetService(service.endpoints.size(), hosts, now);
+  limits_.SetService(service.endpoints.size(), hosts, now);
   for (EndpointIndex n = 0; n < specs_.size(); ++n) {
     const bool is_listed = std::ranges::any_of(
         service.endpoints,
@@ -43,7 +43,7 @@
   }
   const bool first_list = specs_.empty();
   for (const EndpointSpec& spec : service.endpoints) {
-    TakeIn(spec, first_list, now);
+    ApplySpec(spec, first_list, now);
   }
   roster_.Recount();
 }
@@ -58,14 +58,14 @@
   return std::nullopt;
 }
 
-void EndpointTable::TakeIn(const EndpointSpec& spec,
-                           bool taken_as_warm,
-                           TimePoint now) {
+void EndpointTable::ApplySpec(const EndpointSpec& spec,
+                              bool taken_as_warm,
+                              TimePoint now) {
   std::optional<EndpointIndex> index = Find(spec);
   if (!index) {
     index = roster_.Add(taken_as_warm, now);
     specs_.resize(std::max<std::size_t>(specs_.size(), *index + 1));
-    restraints_.OnAdded(*index, spec.id);
+    limits_.OnAdded(*index, spec.id);
   }
   specs_[*index] = spec;
   EndpointRecord& record = roster_.record(*index);
@@ -75,14 +75,14 @@
 }
 
 double EndpointTable::ZoneCost() const {
-  const Duration typical = norm_.TypicalTime();
+  const Duration typical = baseline_.TypicalTime();
   if (typical == Duration::zero()) {
     return 0;
   }
   const double cost =
       static_cast<double>((2 * options_.zone_distance).count()) /
       static_cast<double>(typical.count());
-  return std::min(cost, kMostZoneCost);
+  return std::min(cost, kMaxZoneCost);
 }
 
 // Each endpoint counts once, however often it reports: a busy endpoint sends
@@ -103,7 +103,7 @@
 
 LoadPrior EndpointTable::Prior(TimePoint now) const {
   const OwnLoad own{own_in_flight_, roster_.usable_slots(), hosts_};
-  return norm_.Prior(own, now);
+  return baseline_.Prior(own, now);
 }
 
 // Calls in transit count as in flight on this host but use no slot yet, so the
@@ -122,7 +122,7 @@
                                                  Random& random) {
   roster_.Advance(now);
   std::vector<EndpointIndex> buf;
-  const auto open = Open(now, buf);
+  const auto open = AcceptingEndpoints(now, buf);
   if (open.empty()) {
     return std::nullopt;
   }
@@ -135,11 +135,11 @@
       picker_);
 }
 
-std::span<const EndpointIndex> EndpointTable::Open(
+std::span<const EndpointIndex> EndpointTable::AcceptingEndpoints(
     TimePoint now,
     std::vector<EndpointIndex>& buf) const {
   const auto usable = roster_.usable();
-  const auto takes_one = [&](EndpointIndex it) { return TakesOne(it, now); };
+  const auto takes_one = [&](EndpointIndex it) { return AcceptsCall(it, now); };
   if (std::ranges::all_of(usable, takes_one)) {
     return usable;
   }
@@ -149,18 +149,18 @@
 
 bool EndpointTable::AnyUsable(TimePoint now) const {
   return std::ranges::any_of(
-      roster_.usable(), [&](EndpointIndex it) { return TakesOne(it, now); });
+      roster_.usable(), [&](EndpointIndex it) { return AcceptsCall(it, now); });
 }
 
 std::optional<TimePoint> EndpointTable::OpensAt(TimePoint now,
                                                 TimePoint latest) const {
-  return restraints_.FirstOpening(roster_.usable(), now, latest);
+  return limits_.FirstOpening(roster_.usable(), now, latest);
 }
 
 double EndpointTable::FreeSlots(TimePoint now) const {
   const OwnLoad own{own_in_flight_, roster_.usable_slots(), hosts_};
-  const double taken =
-      own_in_flight_ + norm_.OthersPerSlot(own, now) * roster_.usable_slots();
+  const double taken = own_in_flight_ + baseline_.OthersPerSlot(own, now) *
+                                            roster_.usable_slots();
   return std::max(roster_.usable_slots() - taken, 0.0);
 }
 
@@ -169,12 +169,12 @@
 }
 
 Duration EndpointTable::TypicalServiceTime() const {
-  return norm_.TypicalTime();
+  return baseline_.TypicalTime();
 }
 
 void EndpointTable::OnSend(EndpointIndex endpoint, TimePoint now) {
   roster_.record(endpoint).estimate.OnSend();
-  restraints_.OnSend(endpoint, now);
+  limits_.OnSend(endpoint, now);
   ++own_in_flight_;
   last_send_ = now;
 }
@@ -187,12 +187,12 @@
   record.estimate.OnEnd();
   --own_in_flight_;
   if (result == SendResult::kAnswered) {
-    norm_.OnAnswer(took);
+    baseline_.OnAnswer(took);
   }
   if (result == SendResult::kShed) {
     record.estimate.OnShed(record.slots, now);
   }
-  roster_.OnSendEnd(endpoint, result, norm_.RelativeTime(took), now);
+  roster_.OnSendEnd(endpoint, result, baseline_.RelativeTime(took), now);
 }
 
 void EndpointTable::OnReport(EndpointIndex endpoint,
@@ -209,12 +209,12 @@
     roster_.Recount();
   }
   if (record.estimate.has_report()) {
-    norm_.OnNextReport({endpoint, report.in_flight + report.queued,
-                        record.estimate.calls_reported(),
-                        record.estimate.ReportAge(now)});
+    baseline_.OnNextReport({endpoint, report.in_flight + report.queued,
+                            record.estimate.calls_reported(),
+                            record.estimate.ReportAge(now)});
   }
   if (record.estimate.OnReport(report, now)) {
-    norm_.OnReport(OthersPerSlot(), now);
+    baseline_.OnReport(OthersPerSlot(), now);
   }
   roster_.OnReportedMode(endpoint, report.mode, now);
 }
@@ -226,7 +226,7 @@
     const bool is_it = specs_[n].id == endpoint.id &&
                        specs_[n].started_at == endpoint.started_at;
     if (is_it && roster_.record(n).listed) {
-      restraints_.OnHeard(n, rate_limit, stated_at);
+      limits_.OnHeard(n, rate_limit, stated_at);
     }
   }
 }
@@ -241,16 +241,16 @@
 
 std::optional<EndpointIndex> EndpointTable::NextProbe(TimePoint now) {
   roster_.Advance(now);
-  const ProbeContext context{Prior(now).relaxation,
-                             own_in_flight_ > 0 || now - last_send_ < kBusyTime,
-                             now};
+  const ProbeContext context{
+      Prior(now).relaxation,
+      own_in_flight_ > 0 || now - last_send_ < kIdleTimeout, now};
   const bool has_probe = budget_.HasProbe(now);
   std::optional<EndpointIndex> neediest;
   double highest = 0;
   for (EndpointIndex n = 0; n < specs_.size(); ++n) {
     EndpointRecord& record = roster_.record(n);
     const double need =
-        restraints_.IsResting(n, now) ? 0 : ProbeNeed(record, context);
+        limits_.IsResting(n, now) ? 0 : ProbeNeed(record, context);
     if (need > 0 && !has_probe && !record.probe_withheld) {
       record.probe_withheld = true;
       ++probes_withheld_;
@@ -296,7 +296,7 @@
       record.estimate.Calls(Prior(now), record.slots, now);
   status.slots = static_cast<std::int32_t>(record.slots);
   status.report_age = record.estimate.ReportAge(now);
-  status.rate_limit = restraints_.rate_limit(index);
+  status.rate_limit = limits_.rate_limit(index);
   return status;
 }
 
--- a/policy/endpoint_table.h
+++ b/policy/endpoint_table.h
@@ -89,18 +89,18 @@
                  const EndpointSignals& signals,
                  TimePoint asked_at,
                  TimePoint now) {
-    restraints_.OnAnswer(endpoint, signals, asked_at, now);
-    NoteLeaving(endpoint, signals, now);
+    limits_.OnAnswer(endpoint, signals, asked_at, now);
+    HandleLeaving(endpoint, signals, now);
   }
   void OnProbeSignals(EndpointIndex endpoint,
                       const EndpointSignals& signals,
                       TimePoint now) {
-    restraints_.OnProbeAnswer(endpoint, signals, now);
-    NoteLeaving(endpoint, signals, now);
+    limits_.OnProbeAnswer(endpoint, signals, now);
+    HandleLeaving(endpoint, signals, now);
   }
 
   std::optional<double> RateLimit(EndpointIndex endpoint) const {
-    return restraints_.rate_limit(endpoint);
+    return limits_.rate_limit(endpoint);
   }
   void HearRateLimit(const EndpointProcess& endpoint,
                      std::optional<double> rate_limit,
@@ -121,15 +121,15 @@
   }
 
  private:
-  void NoteLeaving(EndpointIndex endpoint,
-                   const EndpointSignals& signals,
-                   TimePoint now) {
+  void HandleLeaving(EndpointIndex endpoint,
+                     const EndpointSignals& signals,
+                     TimePoint now) {
     if (signals.leaving) {
       roster_.OnLeaving(endpoint, now);
     }
   }
   std::optional<EndpointIndex> Find(const EndpointSpec& spec) const;
-  void TakeIn(const EndpointSpec& spec, bool taken_as_warm, TimePoint now);
+  void ApplySpec(const EndpointSpec& spec, bool taken_as_warm, TimePoint now);
   // Returns the round trip to another zone, relative to the time of an
   // execution. This is the difference in load per slot that outweighs the round
   // trip.
@@ -139,20 +139,21 @@
   double OthersPerSlot() const;
   LoadPrior Prior(TimePoint now) const;
   bool IsBelowOwnPart(double most_load) const;
-  bool TakesOne(EndpointIndex index, TimePoint now) const {
-    return restraints_.MayTakeOne(index, now);
+  bool AcceptsCall(EndpointIndex index, TimePoint now) const {
+    return limits_.MayTakeOne(index, now);
   }
   // Returns the usable endpoints that accept a call now. They are stored in
   // `buf` unless all of them do.
-  std::span<const EndpointIndex> Open(TimePoint now,
-                                      std::vector<EndpointIndex>& buf) const;
+  std::span<const EndpointIndex> AcceptingEndpoints(
+      TimePoint now,
+      std::vector<EndpointIndex>& buf) const;
   EndpointStatus StatusOf(EndpointIndex index, TimePoint now) const;
 
   EndpointTableOptions options_;
   std::vector<EndpointSpec> specs_;
   EndpointRoster roster_;
-  EndpointRestraints restraints_;
-  ServiceNorm norm_;
+  EndpointRestraints limits_;
+  ServiceNorm baseline_;
   PickerVariant picker_;
   ProbeBudget budget_;
   std::int64_t hosts_ = 1;
--- a/policy/execution_profile.h
+++ b/policy/execution_profile.h
@@ -34,13 +34,13 @@
   double Slowdown(double fill) const;
 
  private:
-  static constexpr std::size_t kParts = 4;
-  static std::size_t PartOf(double fill);
+  static constexpr std::size_t kQuarters = 4;
+  static std::size_t QuarterOf(double fill);
 
   Duration usual_{};
   // Slowdown by quarter of the slots in use. The first two are 1 by definition,
   // since they define the usual time.
-  std::array<double, kParts> slowdown_ = {1, 1, 1, 1.15};
+  std::array<double, kQuarters> slowdown_ = {1, 1, 1, 1.15};
 };
 
 }  // namespace damasktack
--- a/policy/execution_time.cc
+++ b/policy/execution_time.cc
@@ -7,13 +7,13 @@
 namespace {
 
 constexpr double kSampleWeight = 1.0 / 64;
-constexpr double kLeastPart = 0.1;
+constexpr double kMinExecutionFraction = 0.1;
 
 }  // namespace
 
-Duration ExecutionTime::Of(Duration took,
-                           Duration way,
-                           const std::optional<EndpointReport>& report) {
+Duration ExecutionTime::Estimate(Duration took,
+                                 Duration round_trip,
+                                 const std::optional<EndpointReport>& report) {
   if (report) {
     // A call that arrives after the reported ones waits until enough of them
     // have ended to free a slot.
@@ -26,8 +26,8 @@
   // execution time.
   const double wait = ends_by_slot_ * mean_;
   const auto whole = static_cast<double>(took.count());
-  const double rest = whole - static_cast<double>(way.count()) - wait;
-  const double execution = std::max(rest, whole * kLeastPart);
+  const double rest = whole - static_cast<double>(round_trip.count()) - wait;
+  const double execution = std::max(rest, whole * kMinExecutionFraction);
   mean_ += (execution - mean_) * (mean_ == 0 ? 1 : kSampleWeight);
   return Duration(static_cast<Duration::rep>(execution));
 }
--- a/policy/execution_time.h
+++ b/policy/execution_time.h
@@ -15,11 +15,11 @@
 class ExecutionTime {
  public:
   // Returns the estimated time in the slot. `took` is the duration of the send,
-  // `way` the round-trip time. The result is at least a tenth of `took`,
+  // `round_trip` the round-trip time. The result is at least a tenth of `took`,
   // whatever the endpoint reports.
-  Duration Of(Duration took,
-              Duration way,
-              const std::optional<EndpointReport>& report);
+  Duration Estimate(Duration took,
+                    Duration round_trip,
+                    const std::optional<EndpointReport>& report);
 
  private:
   // Calls that must end before a new call gets a slot, per slot.
--- a/policy/fair_queue.cc
+++ b/policy/fair_queue.cc
@@ -9,12 +9,12 @@
 // Weight of a new sample in a mean cost.
 constexpr double kSampleWeight = 1.0 / 16;
 // Cost of a call before the first sample; only ratios matter.
-constexpr double kFirstCost = 1.0;
+constexpr double kInitialCost = 1.0;
 // Limit on the customers whose costs are kept; beyond it, all costs are
 // discarded.
-constexpr std::size_t kMostCosts = 4096;
+constexpr std::size_t kMaxCosts = 4096;
 
-void Blend(double& mean, double sample) {
+void UpdateMean(double& mean, double sample) {
   mean = mean == 0 ? sample : mean + (sample - mean) * kSampleWeight;
 }
 
@@ -58,7 +58,7 @@
     flow.tag = std::max(flow.tag, virtual_time_);
     flow.order = next_order_++;
   }
-  flow.calls.insert(Place{arrival, token});
+  flow.calls.insert(QueuedCall{arrival, token});
   Link(flow);
   ++size_;
 }
@@ -68,7 +68,7 @@
                        CallToken token) {
   Flow& flow = flows_.at(customer);
   Unlink(flow);
-  flow.calls.erase(Place{arrival, token});
+  flow.calls.erase(QueuedCall{arrival, token});
   Link(flow);
   --size_;
   ForgetIdle();
@@ -134,11 +134,11 @@
 
 void FairQueue::Learn(const CustomerId& customer, Duration took) {
   const double sample = std::chrono::duration<double, std::milli>(took).count();
-  Blend(mean_cost_, sample);
-  if (costs_.size() >= kMostCosts && !costs_.contains(customer)) {
+  UpdateMean(mean_cost_, sample);
+  if (costs_.size() >= kMaxCosts && !costs_.contains(customer)) {
     costs_.clear();
   }
-  Blend(costs_[customer], sample);
+  UpdateMean(costs_[customer], sample);
 }
 
 double FairQueue::CostOf(const CustomerId& customer) const {
@@ -146,7 +146,7 @@
   if (it != costs_.end()) {
     return it->second;
   }
-  return mean_cost_ == 0 ? kFirstCost : mean_cost_;
+  return mean_cost_ == 0 ? kInitialCost : mean_cost_;
 }
 
 std::size_t FairQueue::Waiting(const CustomerId& customer) const {
--- a/policy/fair_queue.h
+++ b/policy/fair_queue.h
@@ -54,11 +54,11 @@
   std::size_t Waiting(const CustomerId& customer) const;
 
  private:
-  struct Place {
+  struct QueuedCall {
     TimePoint arrival;
     CallToken token = 0;
 
-    auto operator<=>(const Place&) const = default;
+    auto operator<=>(const QueuedCall&) const = default;
   };
   struct Flow {
     CustomerId customer;
@@ -68,7 +68,7 @@
     // Breaks ties between tags; assigned anew whenever the flow gets its first
     // waiting call.
     std::uint64_t order = 0;
-    std::set<Place> calls;
+    std::set<QueuedCall> calls;
   };
   struct FlowKey {
     double rank = 0;
--- a/policy/fleet_size.cc
+++ b/policy/fleet_size.cc
@@ -9,7 +9,7 @@
 // Time in which a starting host learns the number of hosts. After a power loss
 // of the whole fleet, each host counts only the few that returned before it,
 // and would take too large a share.
-constexpr Duration kUntilCounted = std::chrono::seconds(5);
+constexpr Duration kHostCountDelay = std::chrono::seconds(5);
 // Delay before a smaller count applies: a host that is cut off from its peers
 // counts only itself while they continue.
 constexpr Duration kShrinkDelay = std::chrono::seconds(30);
@@ -34,7 +34,7 @@
 // endpoints.
 double FleetSize::Count(TimePoint now) const {
   const bool is_counted =
-      first_list_at_ && now - *first_list_at_ >= kUntilCounted;
+      first_list_at_ && now - *first_list_at_ >= kHostCountDelay;
   const double before = now < before_until_ ? before_ : 1;
   const double unknown = is_counted ? 1 : endpoints_;
   return std::max({hosts_, before, unknown, 1.0});
--- a/policy/measured_balancer.cc
+++ b/policy/measured_balancer.cc
@@ -13,8 +13,8 @@
 // recover, or a slot become free, at the host that the caller reaches next. No
 // jitter is added: callers return to other hosts, and a longer average delay
 // lets fewer of them be served.
-constexpr Duration kShortestRetryAfter = std::chrono::milliseconds(15);
-constexpr Duration kLongestRetryAfter = std::chrono::seconds(1);
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(15);
+constexpr Duration kMaxRetryAfter = std::chrono::seconds(1);
 
 // Returns a random number from 0 to 1.
 double DrawPart(Random& random) {
@@ -44,7 +44,7 @@
 std::optional<MeasuredCandidate> MeasuredBalancer::SettleFor(
     const WaitingCall& call,
     TimePoint now) {
-  if (probes_.CountFresh(now) < options_.enough) {
+  if (probes_.CountFresh(now) < options_.min_fresh_reports) {
     return std::nullopt;
   }
   const std::optional<MeasuredCandidate> best =
@@ -61,9 +61,9 @@
 
 // Used if the call is on time at no endpoint: it is sent to one with a free
 // slot if it completes there before its deadline, though late.
-bool MeasuredBalancer::IsLastChance(const WaitingCall& call,
-                                    const MeasuredCandidate& best,
-                                    TimePoint now) const {
+bool MeasuredBalancer::MayFinishLate(const WaitingCall& call,
+                                     const MeasuredCandidate& best,
+                                     TimePoint now) const {
   return best.HasFreeSlot() && now + best.finish < call.offer.deadline;
 }
 
@@ -79,7 +79,7 @@
     const bool looks =
         probes_.AwaitsReports(now) || probes_.Look(call, now, random_);
     const TimePoint since =
-        std::min(no_place_since_.value_or(now), call.offer.arrival);
+        std::min(unavailable_since_.value_or(now), call.offer.arrival);
     const bool is_given_up =
         !looks &&
         (IsShut(call, now) || now - since >= options_.no_endpoint_patience);
@@ -97,8 +97,8 @@
   if (IsOnTime(call, *best, now)) {
     return {Step::kSend, best};
   }
-  const bool is_last_chance = IsLastChance(call, *best, now);
-  return {is_last_chance ? Step::kSend : Step::kRefuse, best};
+  const bool may_finish_late = MayFinishLate(call, *best, now);
+  return {may_finish_late ? Step::kSend : Step::kRefuse, best};
 }
 
 bool MeasuredBalancer::IsShut(const WaitingCall& call, TimePoint now) const {
@@ -110,30 +110,30 @@
 void MeasuredBalancer::Offer(const CallOffer& offer,
                              TimePoint now,
                              Decisions& out) {
-  callers_.Note(offer.customer, offer.asked, now);
+  returning_callers_.Record(offer.customer, offer.asked, now);
   Admit(WaitingCall{offer, std::nullopt}, now, out);
 }
 
 void MeasuredBalancer::Admit(WaitingCall call, TimePoint now, Decisions& out) {
   endpoints_.Expect(call.offer);
   queue_.Add(std::move(call), out.rejections);
-  Pump(now, out);
+  ProcessQueue(now, out);
 }
 
 bool MeasuredBalancer::Withdraw(CallToken token, TimePoint /*now*/) {
   return queue_.Remove(token);
 }
 
-void MeasuredBalancer::Pump(TimePoint now, Decisions& out) {
+void MeasuredBalancer::ProcessQueue(TimePoint now, Decisions& out) {
   if (queue_.empty()) {
     return;
   }
   queue_.Expire(now, ServiceTimes{}, out.rejections);
-  while (PumpOne(now, out)) {
+  while (ProcessOne(now, out)) {
   }
 }
 
-bool MeasuredBalancer::PumpOne(TimePoint now, Decisions& out) {
+bool MeasuredBalancer::ProcessOne(TimePoint now, Decisions& out) {
   for (const Urgency urgency : queue_.Order()) {
     const WaitingCall& head = *queue_.Head(urgency);
     const auto [step, best] = Decide(head, now);
@@ -157,14 +157,14 @@
     const WaitingCall& call,
     const std::optional<MeasuredCandidate>& best,
     TimePoint now) const {
-  Duration wait = kShortestRetryAfter;
+  Duration wait = kMinRetryAfter;
   if (best) {
     wait = std::max(wait, now + best->finish - call.offer.on_time_until);
   } else if (const auto opens_at =
-                 endpoints_.OpensAt(call, now, now + kLongestRetryAfter)) {
+                 endpoints_.OpensAt(call, now, now + kMaxRetryAfter)) {
     wait = std::max(wait, *opens_at - now);
   }
-  return std::min(wait, kLongestRetryAfter);
+  return std::min(wait, kMaxRetryAfter);
 }
 
 DecisionBasis MeasuredBalancer::BasisOf(
@@ -199,7 +199,7 @@
   endpoints_.OnSendEnd(end, now);
   retries_.OnSendEnd(end.result);
   if (!MayRetry(offer, end, now)) {
-    Pump(now, out);
+    ProcessQueue(now, out);
     return AfterSend::kDone;
   }
   Admit(WaitingCall{offer, end.endpoint}, now, out);
@@ -221,7 +221,7 @@
 // anyway.
 bool MeasuredBalancer::IsLeftToCaller(const CallOffer& offer) const {
   return retries_.AreScarce() &&
-         !callers_.HasComeBack(offer.customer, offer.asked);
+         !returning_callers_.HasComeBack(offer.customer, offer.asked);
 }
 
 bool MeasuredBalancer::MayRetry(const CallOffer& offer,
@@ -252,7 +252,7 @@
                               TimePoint now,
                               Decisions& out) {
   endpoints_.OnReport(endpoint, report, now);
-  Pump(now, out);
+  ProcessQueue(now, out);
 }
 
 void MeasuredBalancer::ProbeFailed(EndpointIndex endpoint,
@@ -260,7 +260,7 @@
                                    TimePoint now,
                                    Decisions& out) {
   endpoints_.OnProbeFailed(endpoint, result, now);
-  Pump(now, out);
+  ProcessQueue(now, out);
 }
 
 void MeasuredBalancer::HearDrain(const EndpointId& id, TimePoint now) {
@@ -268,7 +268,7 @@
 }
 
 void MeasuredBalancer::Tick(TimePoint now, Decisions& out) {
-  Pump(now, out);
+  ProcessQueue(now, out);
 }
 
 std::optional<EndpointIndex> MeasuredBalancer::NextProbe(TimePoint /*now*/) {
@@ -280,9 +280,9 @@
                                  bool is_there,
                                  TimePoint now) {
   if (is_there) {
-    no_place_since_.reset();
-  } else if (!no_place_since_ && call.offer.allowed_regions.empty()) {
-    no_place_since_ = now;
+    unavailable_since_.reset();
+  } else if (!unavailable_since_ && call.offer.allowed_regions.empty()) {
+    unavailable_since_ = now;
   }
 }
 
--- a/policy/measured_balancer.h
+++ b/policy/measured_balancer.h
@@ -103,12 +103,12 @@
   bool IsOnTime(const WaitingCall& call,
                 const MeasuredCandidate& best,
                 TimePoint now) const;
-  bool IsLastChance(const WaitingCall& call,
-                    const MeasuredCandidate& best,
-                    TimePoint now) const;
+  bool MayFinishLate(const WaitingCall& call,
+                     const MeasuredCandidate& best,
+                     TimePoint now) const;
   void Admit(WaitingCall call, TimePoint now, Decisions& out);
-  void Pump(TimePoint now, Decisions& out);
-  bool PumpOne(TimePoint now, Decisions& out);
+  void ProcessQueue(TimePoint now, Decisions& out);
+  bool ProcessOne(TimePoint now, Decisions& out);
   void Send(const WaitingCall& call,
             const MeasuredCandidate& best,
             TimePoint now,
@@ -131,9 +131,9 @@
   ProbePlanner probes_;
   AdmissionQueue queue_;
   RetryBudget retries_;
-  CallerTimes callers_;
+  CallerTimes returning_callers_;
   // Time since which no endpoint has been able to take a call.
-  std::optional<TimePoint> no_place_since_;
+  std::optional<TimePoint> unavailable_since_;
   std::uint64_t retries_granted_ = 0;
   std::uint64_t retries_withheld_ = 0;
 };
--- a/policy/measured_endpoints.cc
+++ b/policy/measured_endpoints.cc
@@ -15,30 +15,30 @@
 constexpr double kSampleWeight = 1.0 / 16;
 // Divisor of the first call's time until its objective; the result is the
 // assumed execution time until the first answer.
-constexpr int kFirstGuess = 3;
+constexpr int kInitialTimeDivisor = 3;
 // Cost factor of an endpoint in slow start, which may take twice as long as
 // usual. It applies after the host's first call there, which warms the endpoint
 // up, so that other free endpoints are preferred.
-constexpr double kColdCost = 1.35;
+constexpr double kSlowStartCostFactor = 1.35;
 // Endpoints listed within this time after the first list count as part of it:
 // when a whole service starts, its endpoints are published one by one, and none
 // of them should be probed before the others.
-constexpr Duration kSettling = std::chrono::seconds(5);
+constexpr Duration kStartupPeriod = std::chrono::seconds(5);
 // Cost factor for probing an endpoint that has joined and was never measured.
 // Without it the endpoint would be left out of the first probes and get no
 // calls while the others suffice. It applies only on hosts that have the
 // endpoint in their first group, so that not every host opens a connection to
 // every new endpoint.
-constexpr double kNewLook = 0.3;
+constexpr double kNewEndpointCostFactor = 0.3;
 // Cost factor of an endpoint on trial, which takes calls only if nothing better
 // is available.
-constexpr double kTrialCost = 2;
+constexpr double kTrialCostFactor = 2;
 // A failed probe within this time makes an endpoint the last choice.
-constexpr Duration kProbeFailureHolds = std::chrono::milliseconds(800);
-constexpr double kProbeFailureCost = 8;
+constexpr Duration kProbeFailureHoldTime = std::chrono::milliseconds(800);
+constexpr double kProbeFailureCostFactor = 8;
 // Number of answers without any report after which a service is assumed to send
 // none.
-constexpr std::uint64_t kSilentAnswers = 8;
+constexpr std::uint64_t kAnswersWithoutReport = 8;
 
 bool HasHadCalls(const EndpointRecord& record) {
   return record.estimate.own_in_flight() > 0 || record.health.ever_ended();
@@ -49,30 +49,30 @@
 MeasuredEndpoints::MeasuredEndpoints(const MeasuredBalancerOptions& options)
     : options_(options),
       cold_(options.host, options.cold),
-      restraints_(options.host),
+      limits_(options.host),
       preference_(options.preference) {}
 
 void MeasuredEndpoints::SetService(const ServiceSpec& service,
                                    std::int64_t hosts,
                                    TimePoint now) {
   cold_.SetService(service, hosts, now);
-  restraints_.SetService(service.endpoints.size(), hosts, now);
+  limits_.SetService(service.endpoints.size(), hosts, now);
   const bool has_left = Unlist(service, now);
   if (!first_list_at_ && !service.endpoints.empty()) {
     first_list_at_ = now;
   }
-  const bool as_warm = first_list_at_ && now - *first_list_at_ < kSettling;
+  const bool as_warm = first_list_at_ && now - *first_list_at_ < kStartupPeriod;
   bool has_changed = false;
   for (const EndpointSpec& it : service.endpoints) {
     const auto known = listed_.find(it.id);
     if (known == listed_.end() || specs_[known->second] != it) {
-      TakeIn(it, as_warm, now);
+      ApplySpec(it, as_warm, now);
       has_changed = true;
     }
   }
   if (has_left || has_changed) {
     roster_.Recount();
-    DrawPreference();
+    UpdatePreference();
   }
 }
 
@@ -94,9 +94,9 @@
   return gone > 0;
 }
 
-void MeasuredEndpoints::TakeIn(const EndpointSpec& spec,
-                               bool as_warm,
-                               TimePoint now) {
+void MeasuredEndpoints::ApplySpec(const EndpointSpec& spec,
+                                  bool as_warm,
+                                  TimePoint now) {
   const auto [known, is_new] = listed_.try_emplace(spec.id);
   if (is_new) {
     known->second = Add(spec, as_warm, now);
@@ -125,7 +125,7 @@
     specs_.resize(index + 1);
     measures_.resize(index + 1);
   }
-  restraints_.OnAdded(index, spec.id);
+  limits_.OnAdded(index, spec.id);
   return index;
 }
 
@@ -146,7 +146,7 @@
                                    TimePoint now) const {
   const ColdLook look{candidate.index, candidate.is_fresh, candidate.calls,
                       candidate.slots};
-  return restraints_.MayTakeOne(candidate.index, now) &&
+  return limits_.MayTakeOne(candidate.index, now) &&
          cold_.MayTakeOne(look, now);
 }
 
@@ -165,8 +165,9 @@
 // Other endpoints are always as free, so without this rule an endpoint with a
 // limit would hardly receive requests, and no host would learn that its limit
 // has ended.
-bool MeasuredEndpoints::IsDue(const MeasuredCandidate& candidate) const {
-  return restraints_.rate_limit(candidate.index) && candidate.HasFreeSlot() &&
+bool MeasuredEndpoints::IsLimitedAndFree(
+    const MeasuredCandidate& candidate) const {
+  return limits_.rate_limit(candidate.index) && candidate.HasFreeSlot() &&
          candidate.pace <= options_.good_pace;
 }
 
@@ -174,15 +175,15 @@
                                                     TimePoint now,
                                                     TimePoint latest) const {
   if (call.offer.allowed_regions.empty()) {
-    return restraints_.FirstOpening(usable(), now, latest);
+    return limits_.FirstOpening(usable(), now, latest);
   }
   std::vector<EndpointIndex> allowed;
   std::ranges::copy_if(usable(), std::back_inserter(allowed),
                        [&](EndpointIndex it) { return IsAllowed(call, it); });
-  return restraints_.FirstOpening(allowed, now, latest);
+  return limits_.FirstOpening(allowed, now, latest);
 }
 
-void MeasuredEndpoints::DrawPreference() {
+void MeasuredEndpoints::UpdatePreference() {
   std::vector<EndpointPreference::Choice> choices;
   for (EndpointIndex n = 0; n < specs_.size(); ++n) {
     const EndpointRecord& record = roster_.records()[n];
@@ -195,37 +196,37 @@
 
 void MeasuredEndpoints::Expect(const CallOffer& offer) {
   if (!profile_.is_known()) {
-    profile_.Guess((offer.on_time_until - offer.arrival) / kFirstGuess);
+    profile_.Guess((offer.on_time_until - offer.arrival) / kInitialTimeDivisor);
   }
 }
 
 bool MeasuredEndpoints::AreReporting() const {
-  return reports_ > 0 || silent_answers_ < kSilentAnswers;
+  return reports_ > 0 || answers_without_report_ < kAnswersWithoutReport;
 }
 
 double MeasuredEndpoints::PaceOf(EndpointIndex index, TimePoint now) const {
   const EndpointRecord& record = roster_.records()[index];
   double pace = measures_[index].Pace(prior_, options_.memory, now);
   if (record.state == EndpointState::kTrial) {
-    pace *= kTrialCost;
+    pace *= kTrialCostFactor;
   } else if (cold_.IsSlow(index, now)) {
     pace *= cold_pace_.value();
   } else if (record.state != EndpointState::kServing && HasHadCalls(record)) {
-    pace *= kColdCost;
+    pace *= kSlowStartCostFactor;
   }
-  if (measures_[index].FailedSince(now - kProbeFailureHolds)) {
-    pace *= kProbeFailureCost;
+  if (measures_[index].FailedSince(now - kProbeFailureHoldTime)) {
+    pace *= kProbeFailureCostFactor;
   }
   return pace;
 }
 
 double MeasuredEndpoints::CallsAt(EndpointIndex index, TimePoint now) const {
   const EndpointRecord& record = roster_.records()[index];
-  const double told =
+  const double reported =
       AreReporting()
           ? measures_[index].Calls(prior_, record.slots, options_.memory, now)
           : 0;
-  return std::max<double>(told, record.estimate.own_in_flight());
+  return std::max<double>(reported, record.estimate.own_in_flight());
 }
 
 MeasuredCandidate MeasuredEndpoints::Weigh(EndpointIndex index,
@@ -243,11 +244,11 @@
   it.finish = Scaled(profile_.usual(), work);
   // An endpoint that fails or refuses more than the others is ranked lower, but
   // the calls that it accepts do not take longer.
-  const double disfavour = 1 + record.penalty;
-  it.cost = Scaled(it.finish, disfavour) +
+  const double failure_factor = 1 + record.penalty;
+  it.cost = Scaled(it.finish, failure_factor) +
             Scaled(profile_.usual(), preference_.Cost(index));
   it.is_good = it.is_fresh && queued == 0 &&
-               it.pace * slowdown * disfavour <= options_.good_pace;
+               it.pace * slowdown * failure_factor <= options_.good_pace;
   return it;
 }
 
@@ -277,7 +278,7 @@
     if ((among == Among::kFresh && !it.is_fresh) || !MayTakeOne(it, now)) {
       continue;
     }
-    if (IsDue(it)) {
+    if (IsLimitedAndFree(it)) {
       it.is_good = true;
       return it;
     }
@@ -299,7 +300,7 @@
   const bool was_measured = measures_[index].ReportAge(now) >= Duration::zero();
   const bool is_warm = !cold_.IsSlow(index, now);
   if (has_joined && is_warm && preference_.IsFirst(index) && !was_measured) {
-    it.cost = Scaled(it.cost, kNewLook);
+    it.cost = Scaled(it.cost, kNewEndpointCostFactor);
   }
   return it;
 }
@@ -313,7 +314,7 @@
     sent.warm_time = Scaled(to.finish, 1 / cold_pace_.value());
   }
   cold_.OnSend(to.index, now);
-  restraints_.OnSend(to.index, now);
+  limits_.OnSend(to.index, now);
   roster_.record(to.index).estimate.OnSend();
   measures_[to.index].OnSend();
 }
@@ -323,7 +324,7 @@
   if (end.report) {
     OnReport(end.endpoint, *end.report, now);
   } else if (end.result == SendResult::kAnswered) {
-    ++silent_answers_;
+    ++answers_without_report_;
   }
   // The relative time is left at 1: reports already show slow endpoints, and a
   // comparison between endpoints would eject those that are slow for half a
@@ -383,7 +384,7 @@
   const auto known = listed_.find(endpoint.id);
   if (known != listed_.end() &&
       specs_[known->second].started_at == endpoint.started_at) {
-    restraints_.OnHeard(known->second, rate_limit, stated_at);
+    limits_.OnHeard(known->second, rate_limit, stated_at);
   }
 }
 
@@ -414,7 +415,7 @@
     endpoint.estimated_in_flight = Weigh(n, now).calls;
     endpoint.slots = static_cast<std::int32_t>(record.slots);
     endpoint.report_age = measures_[n].ReportAge(now);
-    endpoint.rate_limit = restraints_.rate_limit(n);
+    endpoint.rate_limit = limits_.rate_limit(n);
     list.push_back(std::move(endpoint));
   }
   return list;
--- a/policy/measured_endpoints.h
+++ b/policy/measured_endpoints.h
@@ -70,17 +70,17 @@
                  const EndpointSignals& signals,
                  TimePoint asked_at,
                  TimePoint now) {
-    restraints_.OnAnswer(endpoint, signals, asked_at, now);
-    NoteLeaving(endpoint, signals, now);
+    limits_.OnAnswer(endpoint, signals, asked_at, now);
+    HandleLeaving(endpoint, signals, now);
   }
   void OnProbeSignals(EndpointIndex endpoint,
                       const EndpointSignals& signals,
                       TimePoint now) {
-    restraints_.OnProbeAnswer(endpoint, signals, now);
-    NoteLeaving(endpoint, signals, now);
+    limits_.OnProbeAnswer(endpoint, signals, now);
+    HandleLeaving(endpoint, signals, now);
   }
   std::optional<double> RateLimit(EndpointIndex endpoint) const {
-    return restraints_.rate_limit(endpoint);
+    return limits_.rate_limit(endpoint);
   }
   void HearRateLimit(const EndpointProcess& endpoint,
                      std::optional<double> rate_limit,
@@ -110,7 +110,7 @@
   bool IsWorthALook(const WaitingCall& call,
                     EndpointIndex index,
                     TimePoint now) const {
-    return IsAllowed(call, index) && restraints_.MayTakeOne(index, now) &&
+    return IsAllowed(call, index) && limits_.MayTakeOne(index, now) &&
            cold_.IsWorthALook(index, now);
   }
   // Evaluates an endpoint without a fresh report for a probe. The cost is
@@ -148,9 +148,9 @@
     std::optional<Duration> warm_time;
   };
 
-  void NoteLeaving(EndpointIndex endpoint,
-                   const EndpointSignals& signals,
-                   TimePoint now) {
+  void HandleLeaving(EndpointIndex endpoint,
+                     const EndpointSignals& signals,
+                     TimePoint now) {
     if (signals.leaving) {
       roster_.OnLeaving(endpoint, now);
     }
@@ -158,7 +158,7 @@
   // Removes the processes that are no longer listed; returns whether there were
   // any.
   bool Unlist(const ServiceSpec& service, TimePoint now);
-  void TakeIn(const EndpointSpec& spec, bool as_warm, TimePoint now);
+  void ApplySpec(const EndpointSpec& spec, bool as_warm, TimePoint now);
   // Adds an endpoint that is not listed yet and returns its index.
   EndpointIndex Add(const EndpointSpec& spec, bool as_warm, TimePoint now);
   // Whether the call may run in the endpoint's region.
@@ -166,8 +166,8 @@
   bool MayTakeOne(const MeasuredCandidate& candidate, TimePoint now) const;
   // Whether the endpoint has a stated limit and is not known to be slow or
   // full, so that a call which the limit allows should go there.
-  bool IsDue(const MeasuredCandidate& candidate) const;
-  void DrawPreference();
+  bool IsLimitedAndFree(const MeasuredCandidate& candidate) const;
+  void UpdatePreference();
   double PaceOf(EndpointIndex index, TimePoint now) const;
   double CallsAt(EndpointIndex index, TimePoint now) const;
   void Learn(const SendEnd& end, const SentCall& sent);
@@ -184,7 +184,7 @@
   std::unordered_multiset<EndpointId> unlisted_ids_;
   std::vector<EndpointMeasure> measures_;
   ColdEndpoints cold_;
-  EndpointRestraints restraints_;
+  EndpointRestraints limits_;
   EndpointPreference preference_;
   EndpointRoster roster_;
   MeasurePrior prior_;
@@ -194,7 +194,7 @@
   std::unordered_map<CallToken, SentCall> sent_;
   std::optional<TimePoint> first_list_at_;
   std::uint64_t reports_ = 0;
-  std::uint64_t silent_answers_ = 0;
+  std::uint64_t answers_without_report_ = 0;
 };
 
 }  // namespace damasktack
--- a/policy/measured_options.h
+++ b/policy/measured_options.h
@@ -43,7 +43,7 @@
   // Number of fresh reports with which a call goes to the best of them if it is
   // on time there. Where most endpoints are cold or slow, probing all others
   // takes longer than it gains.
-  std::size_t enough = 15;
+  std::size_t min_fresh_reports = 15;
   // Limit on the probes a second to one endpoint from all hosts together. Each
   // host has its share by the size of the fleet. `probe_part` is the fraction
   // in use; the rest is for the first probes of starting hosts and for errors
--- a/policy/probe_budget.cc
+++ b/policy/probe_budget.cc
@@ -11,22 +11,22 @@
 constexpr std::int64_t kOneProbe = 1'000'000 * std::int64_t{1'000'000'000};
 // Upper bound on the rate, above any practical budget; keeps the products
 // within 64 bits.
-constexpr double kHighestRate = 1e6;
+constexpr double kMaxRate = 1e6;
 
 }  // namespace
 
 void ProbeBudget::SetRate(double fleet_rate,
                           std::int64_t hosts,
                           TimePoint now) {
-  Gather(now);
+  Accumulate(now);
   const double own = std::max(fleet_rate, 0.0) /
                      static_cast<double>(std::max<std::int64_t>(hosts, 1));
   // Rounded down, so that the shares of all hosts stay within the total.
   rate_ = static_cast<std::int64_t>(
-      std::floor(std::min(own, kHighestRate) * kRateUnits));
+      std::floor(std::min(own, kMaxRate) * kRateUnits));
 }
 
-void ProbeBudget::Gather(TimePoint now) {
+void ProbeBudget::Accumulate(TimePoint now) {
   // A time before the last one adds nothing, so that no interval counts twice.
   const std::int64_t passed =
       std::max<std::int64_t>((Duration(now - at_)).count(), 0);
@@ -34,22 +34,22 @@
   if (rate_ == 0) {
     return;
   }
-  const std::int64_t time_to_full = (kOneProbe - gathered_) / rate_ + 1;
-  gathered_ = passed >= time_to_full
-                  ? kOneProbe
-                  : std::min(kOneProbe, gathered_ + passed * rate_);
+  const std::int64_t time_to_full = (kOneProbe - accumulated_) / rate_ + 1;
+  accumulated_ = passed >= time_to_full
+                     ? kOneProbe
+                     : std::min(kOneProbe, accumulated_ + passed * rate_);
 }
 
 bool ProbeBudget::HasProbe(TimePoint now) {
-  Gather(now);
-  return gathered_ >= kOneProbe;
+  Accumulate(now);
+  return accumulated_ >= kOneProbe;
 }
 
 bool ProbeBudget::Take(TimePoint now) {
   if (!HasProbe(now)) {
     return false;
   }
-  gathered_ = 0;
+  accumulated_ = 0;
   return true;
 }
 
--- a/policy/probe_budget.h
+++ b/policy/probe_budget.h
@@ -25,13 +25,13 @@
   double probes_per_second() const;
 
  private:
-  void Gather(TimePoint now);
+  void Accumulate(TimePoint now);
 
   // Integers, so that rounding errors cannot accumulate. `rate_` is in
-  // millionths of a probe a second, `gathered_` in millionths of a probe a
+  // millionths of a probe a second, `accumulated_` in millionths of a probe a
   // second times nanoseconds.
   std::int64_t rate_ = 0;
-  std::int64_t gathered_ = 0;
+  std::int64_t accumulated_ = 0;
   TimePoint at_;
 };
 
--- a/policy/probe_planner.cc
+++ b/policy/probe_planner.cc
@@ -24,7 +24,7 @@
 }
 
 bool ProbePlanner::AwaitsReports(TimePoint now) const {
-  if (!wanted_.empty()) {
+  if (!requested_probes_.empty()) {
     return true;
   }
   const Duration patience = Patience(now);
@@ -92,18 +92,18 @@
       break;
     }
     endpoints_.OnProbe(unknown[n].index, now);
-    wanted_.push_back(unknown[n].index);
+    requested_probes_.push_back(unknown[n].index);
     any = true;
   }
   return any;
 }
 
 std::optional<EndpointIndex> ProbePlanner::Next() {
-  if (wanted_.empty()) {
+  if (requested_probes_.empty()) {
     return std::nullopt;
   }
-  const EndpointIndex next = wanted_.front();
-  wanted_.erase(wanted_.begin());
+  const EndpointIndex next = requested_probes_.front();
+  requested_probes_.erase(requested_probes_.begin());
   ++sent_;
   return next;
 }
--- a/policy/probe_planner.h
+++ b/policy/probe_planner.h
@@ -52,7 +52,7 @@
   FleetSize fleet_;
   TokenBucket budget_;
   // Probes that the owner has not fetched yet.
-  std::vector<EndpointIndex> wanted_;
+  std::vector<EndpointIndex> requested_probes_;
   std::uint64_t sent_ = 0;
   std::uint64_t withheld_ = 0;
 };
--- a/policy/report_trust.cc
+++ b/policy/report_trust.cc
@@ -11,10 +11,10 @@
 constexpr double kSampleWeight = 1.0 / 128;
 // Maximum fraction of repeated reports: between the value of fresh reports at a
 // busy service and the value of reports that are renewed a few times a second.
-constexpr double kMostRepeated = 0.2;
+constexpr double kMaxRepeatedFraction = 0.2;
 // Lower bound of the divisor: if nearly all endpoints report the same, as in an
 // idle service, a random difference would be divided by almost zero.
-constexpr double kLeastUnlike = 0.1;
+constexpr double kMinUnequalFraction = 0.1;
 
 void Learn(double& part, bool alike) {
   part += kSampleWeight * ((alike ? 1.0 : 0.0) - part);
@@ -26,22 +26,22 @@
 // in between, so a fresh report may well equal the previous one.
 void ReportTrust::OnReport(const ReportPair& pair, Duration execution) {
   if (pair.apart >= execution) {
-    Learn(like_same_, pair.calls == pair.calls_before);
+    Learn(equal_to_previous_, pair.calls == pair.calls_before);
   }
   if (last_endpoint_ && last_endpoint_ != pair.endpoint) {
-    Learn(like_other_, pair.calls == last_calls_);
+    Learn(equal_to_other_, pair.calls == last_calls_);
   }
   last_endpoint_ = pair.endpoint;
   last_calls_ = pair.calls;
 }
 
-double ReportTrust::RepeatedPart() const {
-  const double unlike = std::max(1 - like_other_, kLeastUnlike);
-  return std::clamp((like_same_ - like_other_) / unlike, 0.0, 1.0);
+double ReportTrust::RepeatedFraction() const {
+  const double unlike = std::max(1 - equal_to_other_, kMinUnequalFraction);
+  return std::clamp((equal_to_previous_ - equal_to_other_) / unlike, 0.0, 1.0);
 }
 
 bool ReportTrust::IsTrusted() const {
-  return RepeatedPart() <= kMostRepeated;
+  return RepeatedFraction() <= kMaxRepeatedFraction;
 }
 
 }  // namespace damasktack
--- a/policy/report_trust.h
+++ b/policy/report_trust.h
@@ -35,7 +35,7 @@
   // Returns the fraction of reports that repeat the previous one of their
   // endpoint more often than by chance, among those that arrive at least one
   // execution after it. From 0 to 1; 0 before the first.
-  double RepeatedPart() const;
+  double RepeatedFraction() const;
   // Returns whether reports are current enough to decide among endpoints with
   // the same number of own calls.
   bool IsTrusted() const;
@@ -43,8 +43,8 @@
  private:
   // Fractions of the reports that equaled the previous one of the same
   // endpoint, and of another endpoint.
-  double like_same_ = 0;
-  double like_other_ = 0;
+  double equal_to_previous_ = 0;
+  double equal_to_other_ = 0;
   std::optional<EndpointIndex> last_endpoint_;
   std::int32_t last_calls_ = 0;
 };
--- a/policy/retry_budget.cc
+++ b/policy/retry_budget.cc
@@ -10,7 +10,7 @@
 // Fraction of the slack that is divided among the hosts. The rest is for
 // starting hosts, each with one retry of its own, and for errors in the count
 // of hosts.
-constexpr double kSlackUsed = 0.75;
+constexpr double kAllocatedSlack = 0.75;
 // Weight of a new send in the fraction that failed.
 constexpr double kSampleWeight = 1.0 / 64;
 // Weight of a new send in the fraction that was refused. It is larger, since a
@@ -35,14 +35,14 @@
   fleet_.Set(hosts, endpoints, now);
 }
 
-void RetryBudget::Refill(Account& account, TimePoint now) const {
+void RetryBudget::Refill(Budget& customer_budget, TimePoint now) const {
   const double earned =
-      std::chrono::duration<double>(now - account.refilled_at) /
+      std::chrono::duration<double>(now - customer_budget.refilled_at) /
       std::chrono::duration<double>(options_.idle_refill);
-  account.refilled_at = now;
+  customer_budget.refilled_at = now;
   // At most one: this is for customers that send too little to earn any.
-  if (account.repeats < 1) {
-    account.repeats = std::min(1.0, account.repeats + earned);
+  if (customer_budget.repeats < 1) {
+    customer_budget.repeats = std::min(1.0, customer_budget.repeats + earned);
   }
 }
 
@@ -59,8 +59,8 @@
   }
 }
 
-RetryBudget::Account& RetryBudget::AccountOf(const CustomerId& customer,
-                                             TimePoint now) {
+RetryBudget::Budget& RetryBudget::BudgetOf(const CustomerId& customer,
+                                           TimePoint now) {
   const auto it = customers_.find(customer);
   if (it != customers_.end()) {
     Refill(it->second, now);
@@ -69,13 +69,13 @@
   if (customers_.size() >= options_.most_customers) {
     ForgetIdle(now);
   }
-  return customers_.emplace(customer, Account{1, now}).first->second;
+  return customers_.emplace(customer, Budget{1, now}).first->second;
 }
 
 void RetryBudget::OnFirstSend(const CustomerId& customer,
                               std::int64_t percent,
                               TimePoint now) {
-  Earn(AccountOf(customer, now).repeats, percent, options_.customer_cap);
+  Earn(BudgetOf(customer, now).repeats, percent, options_.customer_cap);
   Earn(service_.repeats, options_.service_percent, options_.service_cap);
   window_.OnFirstSend(now);
 }
@@ -86,17 +86,18 @@
   if (percent <= 0) {
     return false;
   }
-  Account& account = AccountOf(customer, now);
-  if (account.repeats < 1 || !TrySpendOfService(now)) {
+  Budget& customer_budget = BudgetOf(customer, now);
+  if (customer_budget.repeats < 1 || !TrySpendOfService(now)) {
     return false;
   }
-  account.repeats -= 1;
+  customer_budget.repeats -= 1;
   return true;
 }
 
 bool RetryBudget::TrySpendOfService(TimePoint now) {
   if (options_.fleet_slack > 0) {
-    window_.SetShare(options_.fleet_slack * kSlackUsed / fleet_.Count(now));
+    window_.SetShare(options_.fleet_slack * kAllocatedSlack /
+                     fleet_.Count(now));
     return window_.TrySpend(now);
   }
   Refill(service_, now);
--- a/policy/retry_budget.h
+++ b/policy/retry_budget.h
@@ -70,19 +70,19 @@
   std::size_t customers() const { return customers_.size(); }
 
  private:
-  struct Account {
+  struct Budget {
     double repeats = 1;
     TimePoint refilled_at;
   };
 
-  Account& AccountOf(const CustomerId& customer, TimePoint now);
-  void Refill(Account& account, TimePoint now) const;
+  Budget& BudgetOf(const CustomerId& customer, TimePoint now);
+  void Refill(Budget& customer_budget, TimePoint now) const;
   void ForgetIdle(TimePoint now);
   bool TrySpendOfService(TimePoint now);
 
   RetryBudgetOptions options_;
-  std::unordered_map<CustomerId, Account> customers_;
-  Account service_;
+  std::unordered_map<CustomerId, Budget> customers_;
+  Budget service_;
   FleetSize fleet_;
   RepeatWindow window_;
   // Fractions of the recent sends that failed, and that were refused without
--- a/policy/sampling_picker.cc
+++ b/policy/sampling_picker.cc
@@ -31,7 +31,7 @@
 SamplingPicker::Sample SamplingPicker::Draw(const CandidateView& view,
                                             Random& random) {
   Sample sample;
-  if (view.size() <= kSample) {
+  if (view.size() <= kSampleSize) {
     std::size_t position = RandomPosition(view, random);
     while (sample.size < view.size()) {
       sample.positions[sample.size++] = position;
@@ -39,7 +39,7 @@
     }
     return sample;
   }
-  for (std::size_t n = view.size() - kSample; n < view.size(); ++n) {
+  for (std::size_t n = view.size() - kSampleSize; n < view.size(); ++n) {
     const std::size_t draw =
         UniformBelow(random, static_cast<std::uint32_t>(n + 1));
     const std::span drawn(sample.positions.data(), sample.size);
@@ -52,17 +52,18 @@
 bool SamplingPicker::Meets(const CandidateView& view,
                            std::size_t position,
                            const EndpointCandidate& candidate,
-                           Demand demand,
+                           Requirement requirement,
                            Random& random) {
-  if (demand == Demand::kRoom && !candidate.has_room) {
+  if (requirement == Requirement::kRoom && !candidate.has_room) {
     return false;
   }
-  return demand == Demand::kNothing || DrawsShare(view, position, random);
+  return requirement == Requirement::kNothing ||
+         DrawsShare(view, position, random);
 }
 
 std::optional<EndpointIndex> SamplingPicker::BestOf(const Sample& sample,
                                                     const CandidateView& view,
-                                                    Demand demand,
+                                                    Requirement requirement,
                                                     Random& random) {
   std::optional<EndpointCandidate> best;
   for (std::size_t n = 0; n < sample.size; ++n) {
@@ -74,7 +75,7 @@
     if (best && best->cost <= it.cost) {
       continue;
     }
-    if (Meets(view, position, it, demand, random)) {
+    if (Meets(view, position, it, requirement, random)) {
       best = it;
     }
   }
@@ -85,10 +86,10 @@
     const CandidateView& view,
     Random& random) {
   std::size_t position = RandomPosition(view, random);
-  const std::size_t scanned = std::min(view.size(), kMostScanned);
+  const std::size_t scanned = std::min(view.size(), kMaxScanned);
   for (std::size_t n = 0; n < scanned; ++n) {
     if (!view.IsAvoided(position) &&
-        Meets(view, position, view.At(position), Demand::kRoom, random)) {
+        Meets(view, position, view.At(position), Requirement::kRoom, random)) {
       return view.IndexAt(position);
     }
     position = NextPosition(view, position);
@@ -100,15 +101,15 @@
                                                   Random& random) {
   const Sample sample = Draw(view, random);
   std::optional<EndpointIndex> picked =
-      BestOf(sample, view, Demand::kRoom, random);
+      BestOf(sample, view, Requirement::kRoom, random);
   if (!picked && sample.size < view.size()) {
     picked = FirstWithRoom(view, random);
   }
   if (picked || !view.choice().below_own_part) {
     return picked;
   }
-  picked = BestOf(sample, view, Demand::kShare, random);
-  return picked ? picked : BestOf(sample, view, Demand::kNothing, random);
+  picked = BestOf(sample, view, Requirement::kShare, random);
+  return picked ? picked : BestOf(sample, view, Requirement::kNothing, random);
 }
 
 }  // namespace damasktack
--- a/policy/sampling_picker.h
+++ b/policy/sampling_picker.h
@@ -23,26 +23,26 @@
 
  private:
   // Size of the sample; small enough to evaluate within a microsecond.
-  static constexpr std::size_t kSample = 16;
+  static constexpr std::size_t kSampleSize = 16;
   // Number of endpoints to scan if the sample has no room. If none of these has
   // room, the call may as well wait for the next event.
-  static constexpr std::size_t kMostScanned = 48;
+  static constexpr std::size_t kMaxScanned = 48;
   struct Sample {
-    std::array<std::size_t, kSample> positions{};
+    std::array<std::size_t, kSampleSize> positions{};
     std::size_t size = 0;
   };
   // Requirements for a candidate, strictest first.
-  enum class Demand { kRoom, kShare, kNothing };
+  enum class Requirement { kRoom, kShare, kNothing };
 
   static Sample Draw(const CandidateView& view, Random& random);
   static bool Meets(const CandidateView& view,
                     std::size_t position,
                     const EndpointCandidate& candidate,
-                    Demand demand,
+                    Requirement requirement,
                     Random& random);
   static std::optional<EndpointIndex> BestOf(const Sample& sample,
                                              const CandidateView& view,
-                                             Demand demand,
+                                             Requirement requirement,
                                              Random& random);
   static std::optional<EndpointIndex> FirstWithRoom(const CandidateView& view,
                                                     Random& random);
--- a/policy/seat_turns.cc
+++ b/policy/seat_turns.cc
@@ -24,28 +24,28 @@
 void SeatTurns::Draw(const EndpointId& endpoint,
                      int turns,
                      const FleetSeat& seat) {
-  own_turns_ = 0;
+  own_units_ = 0;
   if (!seat.IsKnown()) {
     return;
   }
   const auto seed = XXH3_64bits(endpoint.text().data(), endpoint.text().size());
   for (int turn = 0; turn < turns; ++turn) {
     const auto drawn = XXH3_64bits_withSeed(&turn, sizeof(turn), seed);
-    own_turns_ += SeatOfTurn(drawn, seat.seats) == seat.number ? 1 : 0;
+    own_units_ += SeatOfTurn(drawn, seat.seats) == seat.number ? 1 : 0;
   }
 }
 
 bool SeatTurns::HasOne(TimePoint now) const {
   const auto used = std::ranges::count_if(
       sent_, [now](TimePoint it) { return now - it < kTurnTime; });
-  return used < own_turns_;
+  return used < own_units_;
 }
 
 void SeatTurns::OnSend(TimePoint now) {
-  if (own_turns_ == 0) {
+  if (own_units_ == 0) {
     return;
   }
-  if (sent_.size() >= static_cast<std::size_t>(own_turns_)) {
+  if (sent_.size() >= static_cast<std::size_t>(own_units_)) {
     sent_.erase(sent_.begin());
   }
   sent_.push_back(now);
--- a/policy/seat_turns.h
+++ b/policy/seat_turns.h
@@ -27,12 +27,12 @@
   void Draw(const EndpointId& endpoint, int turns, const FleetSeat& seat);
 
   // Returns how many units are assigned to this host's number.
-  int own() const { return own_turns_; }
+  int own() const { return own_units_; }
   bool HasOne(TimePoint now) const;
   void OnSend(TimePoint now);
 
  private:
-  int own_turns_ = 0;
+  int own_units_ = 0;
   // Times of the last calls, one for each unit, oldest first.
   std::vector<TimePoint> sent_;
 };
--- a/policy/service_balancer.cc
+++ b/policy/service_balancer.cc
@@ -66,7 +66,7 @@
     last_served_[Index(urgency)] = now;
   }
   queue_.Add(std::move(call), out.rejections);
-  Pump(now, out);
+  ProcessQueue(now, out);
   if (when_short == ShortageTreatment::kShed && queue_.Remove(token)) {
     out.rejections.push_back({token, Refusal::kShed});
   }
@@ -99,11 +99,11 @@
   Learn(offer, end);
   retries_.OnSendEnd(end.result);
   if (!MayRetry(offer, end, now)) {
-    Pump(now, out);
+    ProcessQueue(now, out);
     return AfterSend::kDone;
   }
   Admit(WaitingCall{offer, end.endpoint}, now, out);
-  Pump(now, out);
+  ProcessQueue(now, out);
   return AfterSend::kRetry;
 }
 
@@ -115,7 +115,7 @@
   }
   service_times_[Index(offer.urgency)].Learn(end.took);
   const Duration execution =
-      execution_time_.Of(end.took, WayTo(end.endpoint), end.report);
+      execution_time_.Estimate(end.took, WayTo(end.endpoint), end.report);
   queue_.Learn(offer.urgency, offer.customer, execution);
 }
 
@@ -159,7 +159,7 @@
                              TimePoint now,
                              Decisions& out) {
   table_.OnReport(endpoint, report, now);
-  Pump(now, out);
+  ProcessQueue(now, out);
 }
 
 void ServiceBalancer::HearDrain(const EndpointId& id, TimePoint now) {
@@ -168,10 +168,10 @@
 
 void ServiceBalancer::Tick(TimePoint now, Decisions& out) {
   WatchUsable(now);
-  Pump(now, out);
+  ProcessQueue(now, out);
 }
 
-void ServiceBalancer::Pump(TimePoint now, Decisions& out) {
+void ServiceBalancer::ProcessQueue(TimePoint now, Decisions& out) {
   if (queue_.empty()) {
     return;
   }
--- a/policy/service_balancer.h
+++ b/policy/service_balancer.h
@@ -94,7 +94,7 @@
 
  private:
   void Admit(WaitingCall call, TimePoint now, Decisions& out);
-  void Pump(TimePoint now, Decisions& out);
+  void ProcessQueue(TimePoint now, Decisions& out);
   void RefuseHopeless(TimePoint now, Decisions& out);
   // Grants a dispatch credit to each urgency that has waited too long for one.
   void OweFloors(TimePoint now);
--- a/policy/service_norm.h
+++ b/policy/service_norm.h
@@ -45,7 +45,7 @@
   bool has_report_ = false;
   TimePoint reported_at_;
   Duration typical_{};
-  ReportTrust trust_;
+  ReportTrust stale_report_detector_;
 };
 
 }  // namespace damasktack
--- a/policy/service_time_estimate.cc
+++ b/policy/service_time_estimate.cc
@@ -11,7 +11,7 @@
 // Relative step of the quantile for each sample. Steps up and down balance if
 // one sample in ten is below the quantile.
 constexpr double kStep = 0.05;
-constexpr double kBelow = 0.1;
+constexpr double kQuantile = 0.1;
 constexpr double kRefusalFactor = 0.99;
 
 Duration FromCount(double nanoseconds) {
@@ -29,7 +29,8 @@
     return;
   }
   mean_ += (sample - mean_) * kSampleWeight;
-  least_ *= sample < least_ ? 1 - kStep * (1 - kBelow) : 1 + kStep * kBelow;
+  least_ *=
+      sample < least_ ? 1 - kStep * (1 - kQuantile) : 1 + kStep * kQuantile;
 }
 
 void ServiceTimeEstimate::OnRefusal() {
--- a/policy/shared_rate.cc
+++ b/policy/shared_rate.cc
@@ -13,12 +13,12 @@
 namespace {
 
 // Limit on the pieces of a window: with more, their length would round to zero.
-constexpr double kMostPieces = 1e6;
+constexpr double kMaxPieces = 1e6;
 
 }  // namespace
 
 SharedRate::Piece SharedRate::PieceOf(double share) {
-  const double pieces = std::clamp(std::ceil(share), 1.0, kMostPieces);
+  const double pieces = std::clamp(std::ceil(share), 1.0, kMaxPieces);
   return {Scaled(kWindow, 1 / pieces), share / pieces};
 }
 
--- a/policy/slow_start.h
+++ b/policy/slow_start.h
@@ -7,14 +7,14 @@
 
 namespace damasktack {
 
-inline constexpr Duration kWarmingTime = std::chrono::seconds(5);
+inline constexpr Duration kSlowStartTime = std::chrono::seconds(5);
 // Share of choices for an endpoint that is new, returning or on trial.
-inline constexpr double kFirstShare = 0.1;
+inline constexpr double kInitialShare = 0.1;
 
 // Returns the share of choices in which an endpoint is a candidate at all. A
 // new endpoint reports no load and would attract all calls at once from every
-// host while its caches are cold. A share that grows over kWarmingTime spreads
-// them without communication between hosts.
+// host while its caches are cold. A share that grows over kSlowStartTime
+// spreads them without communication between hosts.
 inline double CandidateShare(const EndpointRecord& record, TimePoint now) {
   switch (record.state) {
     case EndpointState::kServing:
@@ -22,12 +22,12 @@
     case EndpointState::kWarming: {
       const double passed =
           static_cast<double>((now - record.state_since).count()) /
-          static_cast<double>(kWarmingTime.count());
-      return std::clamp(passed, kFirstShare, 1.0);
+          static_cast<double>(kSlowStartTime.count());
+      return std::clamp(passed, kInitialShare, 1.0);
     }
     case EndpointState::kStarting:
     case EndpointState::kTrial:
-      return record.estimate.own_in_flight() > 0 ? 0 : kFirstShare;
+      return record.estimate.own_in_flight() > 0 ? 0 : kInitialShare;
     default:
       return 0;
   }
--- a/tests/policy/naive_admission_queue.h
+++ b/tests/policy/naive_admission_queue.h
@@ -108,8 +108,8 @@
     const double sample =
         std::chrono::duration<double, std::milli>(took).count();
     Class& urgency_class = ClassOf(urgency);
-    Blend(urgency_class.mean_cost, sample);
-    Blend(urgency_class.costs[customer], sample);
+    UpdateMean(urgency_class.mean_cost, sample);
+    UpdateMean(urgency_class.costs[customer], sample);
   }
 
   std::size_t size() const { return calls_.size(); }
@@ -131,7 +131,7 @@
     std::uint64_t next_order = 0;
   };
 
-  static void Blend(double& mean, double sample) {
+  static void UpdateMean(double& mean, double sample) {
     mean = mean == 0 ? sample : mean + (sample - mean) / 16;
   }
   Class& ClassOf(Urgency urgency) {
--- a/tests/policy/test_call_outcome.cc
+++ b/tests/policy/test_call_outcome.cc
@@ -14,7 +14,7 @@
 constexpr TimePoint kStart{std::chrono::hours(1)};
 
 // What happens to one send, chosen by the schedule.
-enum class Fate : std::uint8_t {
+enum class SendScenario : std::uint8_t {
   kConnectRefused,
   kConnectTimesOut,
   kWriteFailsAtOnce,
@@ -29,42 +29,42 @@
   kCancelledRunning,
   kCancelledConnecting,
 };
-constexpr int kFates = 13;
+constexpr int kScenarioCount = 13;
 
 // An endpoint that determines whether it runs the call, and what the sender
 // observes of it.
 struct FakeEndpoint {
   int executions = 0;
 
-  SendResult Take(Fate fate, CallOutcome& call) {
-    switch (fate) {
-      case Fate::kConnectRefused:
-      case Fate::kConnectTimesOut:
-      case Fate::kWriteFailsAtOnce:
-      case Fate::kCancelledConnecting:
+  SendResult Take(SendScenario scenario, CallOutcome& call) {
+    switch (scenario) {
+      case SendScenario::kConnectRefused:
+      case SendScenario::kConnectTimesOut:
+      case SendScenario::kWriteFailsAtOnce:
+      case SendScenario::kCancelledConnecting:
         return SendResult::kNotConnected;
-      case Fate::kCutWhileWriting:
-      case Fate::kCutBeforeRun:
+      case SendScenario::kCutWhileWriting:
+      case SendScenario::kCutBeforeRun:
         call.OnWrote();
         return SendResult::kBroken;
-      case Fate::kCutAfterRun:
+      case SendScenario::kCutAfterRun:
         ++executions;
         return SendResult::kBroken;
-      case Fate::kAnswered:
+      case SendScenario::kAnswered:
         ++executions;
         return SendResult::kAnswered;
-      case Fate::kErrorAnswer:
+      case SendScenario::kErrorAnswer:
         call.OnWrote();
         ++executions;
         return SendResult::kFailed;
-      case Fate::kShed:
+      case SendScenario::kShed:
         return SendResult::kShed;
-      case Fate::kTimedOutRunning:
+      case SendScenario::kTimedOutRunning:
         ++executions;
         return SendResult::kTimedOut;
-      case Fate::kTimedOutBeforeRun:
+      case SendScenario::kTimedOutBeforeRun:
         return SendResult::kTimedOut;
-      case Fate::kCancelledRunning:
+      case SendScenario::kCancelledRunning:
         call.OnWrote();
         ++executions;
         return SendResult::kCancelled;
@@ -166,8 +166,9 @@
     decisions_.clear();
     outcome_.OnPlaced();
     ++sends_;
-    const auto fate = static_cast<Fate>(*rc::gen::inRange(0, kFates));
-    const SendResult result = endpoint_.Take(fate, outcome_);
+    const auto scenario =
+        static_cast<SendScenario>(*rc::gen::inRange(0, kScenarioCount));
+    const SendResult result = endpoint_.Take(scenario, outcome_);
     outcome_.OnSendEnd(result);
     SendEnd end{offer_.token, dispatch.endpoint, result, milliseconds(1), {}};
     end.sends = sends_;
--- a/tests/policy/test_caller_times.cc
+++ b/tests/policy/test_caller_times.cc
@@ -16,8 +16,8 @@
 TEST_CASE("returning callers have less time than others of the route") {
   CallerTimes times;
   CHECK(!times.HasComeBack(kRoute, seconds(1)));
-  times.Note(kRoute, seconds(2), kStart);
-  times.Note(kRoute, milliseconds(1950), kStart);
+  times.Record(kRoute, seconds(2), kStart);
+  times.Record(kRoute, milliseconds(1950), kStart);
   CHECK(times.HasComeBack(kRoute, milliseconds(1950)));
   CHECK(!times.HasComeBack(kRoute, milliseconds(1995)));
   CHECK(!times.HasComeBack(CustomerId("other"), milliseconds(1950)));
@@ -27,9 +27,9 @@
 // of the route now allow less time and the previous maximum is still in use.
 TEST_CASE("a route adapts when its callers allow less time") {
   CallerTimes times;
-  times.Note(kRoute, seconds(2), kStart);
+  times.Record(kRoute, seconds(2), kStart);
   for (int n = 0; n < 60; ++n) {
-    times.Note(kRoute, seconds(1), kStart + seconds(n));
+    times.Record(kRoute, seconds(1), kStart + seconds(n));
   }
   CHECK(!times.HasComeBack(kRoute, seconds(1)));
 }
@@ -37,7 +37,7 @@
 TEST_CASE("the number of remembered routes is bounded") {
   CallerTimes times;
   for (int n = 0; n < 10'000; ++n) {
-    times.Note(CustomerId(std::to_string(n)), seconds(1), kStart);
+    times.Record(CustomerId(std::to_string(n)), seconds(1), kStart);
   }
   CHECK(times.routes() <= 4096);
 }
--- a/tests/policy/test_cold_allowance.cc
+++ b/tests/policy/test_cold_allowance.cc
@@ -24,7 +24,7 @@
 
 // Returns the maximum number of calls within any second, if each host sends
 // whenever it may and always finds the endpoint idle.
-std::size_t WorstSecond(int hosts, double rate, Duration length) {
+std::size_t MaxCallsPerSecond(int hosts, double rate, Duration length) {
   ServiceSpec service;
   service.cold_rate = rate;
   service.endpoints.resize(1);
@@ -63,15 +63,15 @@
   CHECK(rc::check("rates", [] {
     const int hosts = *rc::gen::inRange(1, 473);
     const double rate = *rc::gen::inRange(1, 40);
-    const std::size_t worst = WorstSecond(hosts, rate, seconds(8));
+    const std::size_t worst = MaxCallsPerSecond(hosts, rate, seconds(8));
     RC_ASSERT(static_cast<double>(worst) <= rate * 1.5 + 8);
   }));
 }
 
 // Hosts that share an endpoint that is always cold.
-class SeatedFleet {
+class NumberedFleet {
  public:
-  SeatedFleet(int hosts, double rate, const std::string& endpoint) {
+  NumberedFleet(int hosts, double rate, const std::string& endpoint) {
     ServiceSpec service;
     service.cold_rate = rate;
     service.endpoints.resize(1);
@@ -102,7 +102,7 @@
   std::vector<ColdEndpoints> hosts_;
 };
 
-std::size_t MostWithinASecond(std::vector<TimePoint> arrivals) {
+std::size_t MaxWithinOneSecond(std::vector<TimePoint> arrivals) {
   std::ranges::sort(arrivals);
   std::size_t worst = 0;
   std::size_t first = 0;
@@ -122,29 +122,30 @@
   CHECK(rc::check("seats", [] {
     const int hosts = *rc::gen::inRange(1, 300);
     const double rate = *rc::gen::inRange(1, 40);
-    const bool differ_in_seats = *rc::gen::arbitrary<bool>();
-    SeatedFleet fleet(hosts, rate,
-                      "e" + std::to_string(*rc::gen::inRange(0, 1000)));
-    const int more_seats = *rc::gen::inRange(0, hosts + 1);
+    const bool differ_in_count = *rc::gen::arbitrary<bool>();
+    NumberedFleet fleet(hosts, rate,
+                        "e" + std::to_string(*rc::gen::inRange(0, 1000)));
+    const int extra_numbers = *rc::gen::inRange(0, hosts + 1);
     for (int n = 0; n < hosts; ++n) {
       const FleetSeat seat =
-          differ_in_seats
-              ? FleetSeat{n, n % 2 == 0 ? hosts : hosts + more_seats}
+          differ_in_count
+              ? FleetSeat{n, n % 2 == 0 ? hosts : hosts + extra_numbers}
               : FleetSeat{n / 2, (hosts + 1) / 2};
       fleet.SetSeat(static_cast<std::size_t>(n), seat);
     }
-    const int most_way_ms = *rc::gen::inRange(0, 250);
+    const int max_transit_ms = *rc::gen::inRange(0, 250);
     std::mt19937 random(*rc::gen::arbitrary<unsigned>());
     std::vector<TimePoint> arrivals;
     for (TimePoint now = kStart; now < kStart + seconds(5);
          now += milliseconds(7)) {
       for (std::size_t n = 0; n < fleet.size(); ++n) {
         if (fleet.Send(n, now)) {
-          arrivals.push_back(now + milliseconds(random() % (most_way_ms + 1)));
+          arrivals.push_back(now +
+                             milliseconds(random() % (max_transit_ms + 1)));
         }
       }
     }
-    RC_ASSERT(static_cast<double>(MostWithinASecond(arrivals)) <=
+    RC_ASSERT(static_cast<double>(MaxWithinOneSecond(arrivals)) <=
               rate * kBound.overshoot + kBound.slack);
   }));
 }
@@ -159,7 +160,7 @@
     CAPTURE(hosts);
     int sent = 0;
     for (int endpoint = 0; endpoint < kEndpoints; ++endpoint) {
-      SeatedFleet fleet(hosts, kRate, "e" + std::to_string(endpoint));
+      NumberedFleet fleet(hosts, kRate, "e" + std::to_string(endpoint));
       for (int n = 0; n < hosts; ++n) {
         fleet.SetSeat(static_cast<std::size_t>(n), {n, hosts});
       }
--- a/tests/policy/test_crash_ledger.cc
+++ b/tests/policy/test_crash_ledger.cc
@@ -33,17 +33,19 @@
   ledger.Confirm(Endpoint(endpoint));
 }
 
-Suspicion Judged(CrashLedger& ledger, RequestFingerprint it, TimePoint now) {
+Suspicion SuspicionOf(CrashLedger& ledger,
+                      RequestFingerprint it,
+                      TimePoint now) {
   return ledger.Judge(it, now).suspicion;
 }
 
 TEST_CASE(
     "three crashes quarantine a request, and each further one extends it") {
   CrashLedger ledger({}, kSeed);
-  CHECK(Judged(ledger, kCulprit, kStart) == Suspicion::kNone);
+  CHECK(SuspicionOf(ledger, kCulprit, kStart) == Suspicion::kNone);
   Crash(ledger, 1, {kCulprit}, kStart);
   Crash(ledger, 2, {kCulprit}, kStart);
-  CHECK(Judged(ledger, kCulprit, kStart) == Suspicion::kSuspected);
+  CHECK(SuspicionOf(ledger, kCulprit, kStart) == Suspicion::kSuspected);
   Crash(ledger, 3, {kCulprit}, kStart);
   const RequestJudgement third = ledger.Judge(kCulprit, kStart);
   CHECK(third.suspicion == Suspicion::kQuarantined);
@@ -61,10 +63,10 @@
   for (int n = 0; n < 100; ++n) {
     CHECK(ledger.Suspect({kBystander, Endpoint(n), kStart}) ==
           SuspectStep::kCheck);
-    CHECK(Judged(ledger, kBystander, kStart) == Suspicion::kSuspected);
+    CHECK(SuspicionOf(ledger, kBystander, kStart) == Suspicion::kSuspected);
     ledger.Dismiss(Endpoint(n));
   }
-  CHECK(Judged(ledger, kBystander, kStart) == Suspicion::kNone);
+  CHECK(SuspicionOf(ledger, kBystander, kStart) == Suspicion::kNone);
   CHECK(ledger.empty());
 }
 
@@ -77,13 +79,13 @@
   }
   Crash(ledger, 3, {kCulprit}, kStart + seconds(3));
   const TimePoint now = kStart + seconds(4);
-  CHECK(Judged(ledger, kCulprit, now) == Suspicion::kQuarantined);
-  CHECK(Judged(ledger, kBystander, now) == Suspicion::kSuspected);
+  CHECK(SuspicionOf(ledger, kCulprit, now) == Suspicion::kQuarantined);
+  CHECK(SuspicionOf(ledger, kBystander, now) == Suspicion::kSuspected);
   // Crashes without the other request count.
   for (int n = 4; n < 7; ++n) {
     Crash(ledger, n, {kBystander}, now);
   }
-  CHECK(Judged(ledger, kBystander, now) == Suspicion::kQuarantined);
+  CHECK(SuspicionOf(ledger, kBystander, now) == Suspicion::kQuarantined);
 }
 
 TEST_CASE(
@@ -93,7 +95,8 @@
   Crash(ledger, 2, {kBystander}, kStart);
   CHECK(ledger.Clear({kBystander, kStart + seconds(1)}, kStart + seconds(1)) ==
         2);
-  CHECK(Judged(ledger, kBystander, kStart + seconds(1)) == Suspicion::kNone);
+  CHECK(SuspicionOf(ledger, kBystander, kStart + seconds(1)) ==
+        Suspicion::kNone);
   CHECK(!ledger.Add({kBystander, Endpoint(3), kStart}, kStart + seconds(1)));
   CHECK(ledger.Add({kBystander, Endpoint(3), kStart + seconds(2)},
                    kStart + seconds(2)));
@@ -108,14 +111,14 @@
   const RequestJudgement trial = ledger.Judge(kCulprit, end);
   CHECK(trial.suspicion == Suspicion::kSuspected);
   CHECK(trial.is_trial);
-  CHECK(Judged(ledger, kCulprit, end) == Suspicion::kQuarantined);
+  CHECK(SuspicionOf(ledger, kCulprit, end) == Suspicion::kQuarantined);
   SUBCASE("a crash renews it") {
     Crash(ledger, 3, {kCulprit}, end);
     CHECK(ledger.Judge(kCulprit, end + seconds(30)).retry_after > seconds(60));
   }
   SUBCASE("an answer ends it") {
     ledger.Clear({kCulprit, end}, end);
-    CHECK(Judged(ledger, kCulprit, end) == Suspicion::kNone);
+    CHECK(SuspicionOf(ledger, kCulprit, end) == Suspicion::kNone);
   }
 }
 
@@ -140,7 +143,7 @@
   for (int n = 0; n < 3; ++n) {
     Crash(ledger, n, {kCulprit}, kStart);
   }
-  CHECK(Judged(ledger, kCulprit, kStart + std::chrono::hours(2)) ==
+  CHECK(SuspicionOf(ledger, kCulprit, kStart + std::chrono::hours(2)) ==
         Suspicion::kNone);
   CHECK(ledger.empty());
 }
--- a/tests/policy/test_endpoint_restraints.cc
+++ b/tests/policy/test_endpoint_restraints.cc
@@ -28,9 +28,9 @@
 // Simulates one endpoint with a limit and hosts that always have a call for it.
 // Some of the hosts restart, freeze, leave or lose contact with their peers for
 // a while.
-class LimitedPlay {
+class LimitSimulation {
  public:
-  LimitedPlay(int hosts, double limit) : limit_(limit) {
+  LimitSimulation(int hosts, double limit) : limit_(limit) {
     for (int n = 0; n < hosts; ++n) {
       hosts_.push_back({MakeHost(Name(n), hosts, kStart), kStart});
     }
@@ -38,14 +38,14 @@
 
   void Restart(std::size_t n) {
     hosts_[n] = {MakeHost(Name(static_cast<int>(n)), 1, now_),
-                 now_ + kUntilInTouch};
-    hosts_[n].learns_at = now_ + milliseconds(500);
+                 now_ + kReconnectTime};
+    hosts_[n].limit_known_at = now_ + milliseconds(500);
     // Its peers tell it the size of the fleet.
-    hosts_[n].cut_until = now_ + seconds(1);
+    hosts_[n].disconnected_until = now_ + seconds(1);
   }
   void Freeze(std::size_t n, Duration time) {
     hosts_[n].frozen_until = now_ + time;
-    hosts_[n].excused_until = now_ + time + kUntilInTouch;
+    hosts_[n].excused_until = now_ + time + kReconnectTime;
   }
   void Leave(std::size_t n) {
     hosts_[n].frozen_until = TimePoint::max();
@@ -55,9 +55,9 @@
     }
   }
   // Disconnects the host from its peers for a while.
-  void Cut(std::size_t n, Duration time) {
+  void Disconnect(std::size_t n, Duration time) {
     hosts_[n].restraints.SetService(kEndpoints, 1, now_);
-    hosts_[n].cut_until = now_ + time;
+    hosts_[n].disconnected_until = now_ + time;
   }
 
   void Run(Duration time) {
@@ -69,24 +69,24 @@
       while (!sends_.empty() && now_ - sends_.front() >= seconds(4)) {
         sends_.pop_front();
       }
-      worst_ = std::max(worst_, sends_.size());
+      peak_ = std::max(peak_, sends_.size());
     }
   }
 
   // Maximum of requests within four seconds, from hosts that are not excused.
-  std::size_t worst() const { return worst_; }
-  double most() const { return 1.5 * limit_ * 4 + 5; }
+  std::size_t peak() const { return peak_; }
+  double max_requests() const { return 1.5 * limit_ * 4 + 5; }
 
  private:
-  static constexpr seconds kUntilInTouch{3};
+  static constexpr seconds kReconnectTime{3};
 
   struct Host {
     EndpointRestraints restraints;
     TimePoint excused_until;
     TimePoint frozen_until = {};
-    TimePoint cut_until = {};
+    TimePoint disconnected_until = {};
     // Time at which the answer to its first request states the limit.
-    TimePoint learns_at = {};
+    TimePoint limit_known_at = {};
     bool knows = false;
   };
 
@@ -96,12 +96,13 @@
     if (now_ < host.frozen_until) {
       return;
     }
-    if (host.cut_until != TimePoint() && now_ >= host.cut_until) {
-      host.cut_until = TimePoint();
+    if (host.disconnected_until != TimePoint() &&
+        now_ >= host.disconnected_until) {
+      host.disconnected_until = TimePoint();
       host.restraints.SetService(
           kEndpoints, static_cast<std::int64_t>(hosts_.size()), now_);
     }
-    if (!host.knows && now_ >= host.learns_at) {
+    if (!host.knows && now_ >= host.limit_known_at) {
       host.knows = true;
       host.restraints.OnAnswer(kEndpoint, {.rate_limit = limit_}, now_, now_);
     }
@@ -118,7 +119,7 @@
   TimePoint now_ = kStart;
   std::vector<Host> hosts_;
   std::deque<TimePoint> sends_;
-  std::size_t worst_ = 0;
+  std::size_t peak_ = 0;
 };
 
 // Guards against hosts that each use the whole of a stated limit, or save up
@@ -127,9 +128,10 @@
   const bool ok = rc::check([] {
     const int hosts = *rc::gen::element(1, 3, 17, 124, 472);
     const double limit = *rc::gen::inRange(0, 60) / 10.0;
-    LimitedPlay play(hosts, limit);
-    play.Run(seconds(60));
-    RC_ASSERT(static_cast<double>(play.worst()) <= play.most());
+    LimitSimulation simulation(hosts, limit);
+    simulation.Run(seconds(60));
+    RC_ASSERT(static_cast<double>(simulation.peak()) <=
+              simulation.max_requests());
   });
   CHECK(ok);
 }
@@ -138,18 +140,19 @@
 TEST_CASE("hosts stay within a limit together while the fleet changes") {
   const bool ok = rc::check([] {
     const int hosts = *rc::gen::inRange(5, 60);
-    LimitedPlay play(hosts, *rc::gen::inRange(5, 60) / 10.0);
+    LimitSimulation simulation(hosts, *rc::gen::inRange(5, 60) / 10.0);
     const auto any =
         rc::gen::inRange<std::size_t>(0, static_cast<std::size_t>(hosts));
     for (int n = 0; n < 10; ++n) {
-      play.Run(milliseconds(*rc::gen::inRange(0, 4000)));
-      play.Restart(*any);
-      play.Freeze(*any, milliseconds(*rc::gen::inRange(100, 5000)));
-      play.Cut(*any, milliseconds(*rc::gen::inRange(100, 25'000)));
+      simulation.Run(milliseconds(*rc::gen::inRange(0, 4000)));
+      simulation.Restart(*any);
+      simulation.Freeze(*any, milliseconds(*rc::gen::inRange(100, 5000)));
+      simulation.Disconnect(*any, milliseconds(*rc::gen::inRange(100, 25'000)));
     }
-    play.Leave(*any);
-    play.Run(seconds(10));
-    RC_ASSERT(static_cast<double>(play.worst()) <= play.most());
+    simulation.Leave(*any);
+    simulation.Run(seconds(10));
+    RC_ASSERT(static_cast<double>(simulation.peak()) <=
+              simulation.max_requests());
   });
   CHECK(ok);
 }
@@ -219,10 +222,10 @@
 // Guards against an endpoint that never receives a request again after a limit
 // of zero.
 TEST_CASE("an endpoint with a limit of zero still gets occasional requests") {
-  LimitedPlay play(3, 0);
-  play.Run(seconds(120));
-  CHECK(play.worst() >= 1);
-  CHECK(static_cast<double>(play.worst()) <= play.most());
+  LimitSimulation simulation(3, 0);
+  simulation.Run(seconds(120));
+  CHECK(simulation.peak() >= 1);
+  CHECK(static_cast<double>(simulation.peak()) <= simulation.max_requests());
 }
 
 }  // namespace
--- a/tests/policy/test_execution_time.cc
+++ b/tests/policy/test_execution_time.cc
@@ -20,11 +20,12 @@
   for (int n = 0; n < 2000; ++n) {
     // The call waits for half of a mean execution of 10 ms and is in transit
     // for 2 ms.
-    execution = time.Of(milliseconds(17), milliseconds(2), report);
+    execution = time.Estimate(milliseconds(17), milliseconds(2), report);
   }
   CHECK(execution > std::chrono::microseconds(9900));
   CHECK(execution < std::chrono::microseconds(10100));
-  CHECK(time.Of(milliseconds(37), milliseconds(2), report) > milliseconds(29));
+  CHECK(time.Estimate(milliseconds(37), milliseconds(2), report) >
+        milliseconds(29));
 }
 
 TEST_CASE("no call is free at an endpoint that reports an absurd queue") {
@@ -32,10 +33,11 @@
   EndpointReport report;
   report.queued = 1'000'000;
   for (int n = 0; n < 100; ++n) {
-    CHECK(time.Of(milliseconds(10), milliseconds(0), report) >=
+    CHECK(time.Estimate(milliseconds(10), milliseconds(0), report) >=
           milliseconds(1));
   }
-  CHECK(time.Of(milliseconds(10), milliseconds(50), {}) >= milliseconds(1));
+  CHECK(time.Estimate(milliseconds(10), milliseconds(50), {}) >=
+        milliseconds(1));
 }
 
 }  // namespace
--- a/tests/policy/test_measured_balancer.cc
+++ b/tests/policy/test_measured_balancer.cc
@@ -151,23 +151,23 @@
   Harness harness(kEndpoints);
   harness.balancer.OnSignals(0, {.leaving = true}, harness.now, harness.now);
   CallToken token = 0;
-  const auto check_left_alone = [&] {
+  const auto check_not_called = [&] {
     const Decisions out = harness.Offer(MakeCall(++token, harness.now));
     for (const Dispatch& it : out.dispatches) {
       CHECK(it.endpoint == 1);
     }
   };
-  check_left_alone();
+  check_not_called();
   harness.now += std::chrono::seconds(5);
   Decisions out;
   harness.balancer.OnSignals(0, {}, harness.now, harness.now);
   harness.balancer.Report(0, MakeReport(0, 1), harness.now, out);
-  check_left_alone();
+  check_not_called();
   ServiceSpec service = MakeService(kEndpoints);
   service.endpoints[0].state = ListedState::kLeaving;
   harness.balancer.SetService(service, 1, harness.now);
   harness.balancer.SetService(MakeService(kEndpoints), 1, harness.now);
-  check_left_alone();
+  check_not_called();
   service = MakeService(kEndpoints);
   service.endpoints[0].started_at += std::chrono::seconds(1);
   service.endpoints.pop_back();
@@ -777,7 +777,7 @@
   constexpr int kBefore = 80;
   constexpr int kAfter = 100;
   constexpr int kHosts = 30;
-  std::map<EndpointIndex, int> hosts_that_look;
+  std::map<EndpointIndex, int> probes_by_endpoint;
   for (int host = 0; host < kHosts; ++host) {
     MeasuredBalancerOptions options = MakeOptions();
     options.host = HostId("h" + std::to_string(host));
@@ -792,16 +792,16 @@
       balancer.Offer(MakeCall(token, now), now, out);
       while (const auto probe = balancer.NextProbe(now)) {
         if (*probe >= kBefore) {
-          ++hosts_that_look[*probe];
+          ++probes_by_endpoint[*probe];
         }
         balancer.Report(*probe, MakeReport(0, 1), now, out);
       }
     }
   }
   // Each of the twenty is probed, and not by every host.
-  CHECK(hosts_that_look.size() == kAfter - kBefore);
-  for (const auto& [endpoint, looks] : hosts_that_look) {
-    CHECK(looks < kHosts * 3);
+  CHECK(probes_by_endpoint.size() == kAfter - kBefore);
+  for (const auto& [endpoint, probe_count] : probes_by_endpoint) {
+    CHECK(probe_count < kHosts * 3);
   }
 }
 
--- a/tests/policy/test_report_trust.cc
+++ b/tests/policy/test_report_trust.cc
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 
 constexpr EndpointIndex kEndpoints = 8;
-constexpr std::uint32_t kMostCalls = 6;
+constexpr std::uint32_t kMaxCalls = 6;
 constexpr Duration kExecution = milliseconds(7);
 
 // Eight endpoints that report in turn, each every 40 ms unless stated
@@ -20,7 +20,7 @@
 struct Reporters {
   void Measure() {
     for (std::int32_t& it : calls) {
-      it = static_cast<std::int32_t>(UniformBelow(random, kMostCalls));
+      it = static_cast<std::int32_t>(UniformBelow(random, kMaxCalls));
     }
   }
   void ReportAll(Duration apart = milliseconds(40)) {
@@ -65,7 +65,7 @@
   Reporters reporters;
   reporters.Rounds(200, 12);
   CHECK_FALSE(reporters.trust.IsTrusted());
-  CHECK(reporters.trust.RepeatedPart() > 0.5);
+  CHECK(reporters.trust.RepeatedFraction() > 0.5);
 }
 
 TEST_CASE("reports are trusted again when they are fresh again") {
@@ -89,7 +89,7 @@
   for (int n = 0; n < 300; ++n) {
     reporters.ReportAll(milliseconds(2));
   }
-  CHECK(reporters.trust.RepeatedPart() == 0);
+  CHECK(reporters.trust.RepeatedFraction() == 0);
 }
 
 }  // namespace
--- a/tests/policy/test_retry_budget.cc
+++ b/tests/policy/test_retry_budget.cc
@@ -161,7 +161,7 @@
   }
 };
 
-FleetLoad PlayRefusals(std::size_t hosts, double slack, Random& random) {
+FleetLoad SimulateRefusals(std::size_t hosts, double slack, Random& random) {
   constexpr std::size_t kSteps = 500;
   constexpr std::uint32_t kWhole = 1000;
   const CustomerId customer("c");
@@ -199,9 +199,9 @@
   constexpr double kSlackOfHost = 1.1;
   Random random(20261203);
   for (const std::size_t hosts : {1UL, 13UL, 60UL, 586UL, 1200UL}) {
-    for (int play = 0; play < 4; ++play) {
+    for (int run = 0; run < 4; ++run) {
       const double slack = kSlackOfHost * static_cast<double>(hosts) + 10;
-      const FleetLoad load = PlayRefusals(hosts, slack, random);
+      const FleetLoad load = SimulateRefusals(hosts, slack, random);
       CAPTURE(hosts);
       for (std::ptrdiff_t end = 100; end <= 500; ++end) {
         const double sends = std::max({FleetLoad::Sum(load.sends, end),
--- a/tests/policy/test_service_balancer.cc
+++ b/tests/policy/test_service_balancer.cc
@@ -52,9 +52,9 @@
 
 // Drives a balancer by a random schedule and checks after each event that every
 // call is in exactly one state: waiting, at an endpoint, or done.
-class RandomDrive {
+class RandomSchedule {
  public:
-  RandomDrive() : balancer_(Options(), 3) {
+  RandomSchedule() : balancer_(Options(), 3) {
     balancer_.SetService(service_, 2, now_);
   }
 
@@ -236,8 +236,8 @@
 
 TEST_CASE("no call is lost or completed twice, and all end by their deadline") {
   const bool held = rc::check([] {
-    RandomDrive drive;
-    drive.Run(*rc::gen::inRange(1, 150));
+    RandomSchedule random_schedule;
+    random_schedule.Run(*rc::gen::inRange(1, 150));
   });
   CHECK(held);
 }
