--- a/policy/admission_queue.h
+++ b/policy/admission_queue.h
@@ -15,7 +15,7 @@
 
 struct AdmissionOptions {
   // Limit on the number of waiting calls, over all urgencies.
-  std::size_t most_waiting = 4096;
+  std::size_t max_waiting = 4096;
   // Minimum share of the slot time that each urgency receives while it has
   // waiting calls.
   std::array<double, kUrgencyCount> floors = {0.0, 0.10, 0.05};
@@ -57,7 +57,7 @@
   // Returns the urgencies with waiting calls: first those that hold a credit
   // from their guaranteed minimum, then the most urgent.
   UrgencyOrder Order() const;
-  bool IsOwed(Urgency urgency) const;
+  bool HasCredit(Urgency urgency) const;
   // Returns the next call of the urgency, or null if none waits.
   const WaitingCall* Head(Urgency urgency) const;
   // Dequeues the next call for a dispatch. At least one call must be waiting.
@@ -65,7 +65,7 @@
   // Records that a call of this urgency was dispatched without being queued.
   void OnDirectDispatch(Urgency urgency);
   // Grants the urgency the next dispatch, provided that it has waiting calls.
-  void Owe(Urgency urgency);
+  void GrantCredit(Urgency urgency);
 
   // Refuses every call that has no more than `least` left before its deadline.
   void Expire(TimePoint now,
--- a/policy/balancer.h
+++ b/policy/balancer.h
@@ -15,7 +15,7 @@
 #include "policy/endpoint_report.h"
 #include "policy/endpoint_signals.h"
 #include "policy/endpoint_status.h"
-#include "policy/fleet_seat.h"
+#include "policy/host_number.h"
 
 namespace damasktack {
 
@@ -31,7 +31,7 @@
   std::optional<EndpointSignals> signals = std::nullopt;
   // The answer passed through another damasktack closer to the failure, which
   // was able to retry the call itself.
-  bool retried_deeper = false;
+  bool retried_downstream = false;
   // Endpoints have crashed while they ran this request, so it must not be sent
   // to another one.
   bool is_suspected = false;
@@ -66,7 +66,7 @@
 
   // Sets this host's number among the entry hosts. It determines this host's
   // share of the calls that an endpoint tolerates.
-  virtual void SetSeat(const FleetSeat& /*seat*/) {}
+  virtual void SetHostNumber(const HostNumber& /*seat*/) {}
 
   // Accepts a call. `out` may hold its dispatch or rejection at once.
   virtual void Offer(const CallOffer& offer, TimePoint now, Decisions& out) = 0;
@@ -105,18 +105,18 @@
   virtual std::optional<double> RateLimit(EndpointIndex endpoint) const = 0;
   // Handles news from another host, to which the endpoint stated its rate
   // limit, or the end of the limit, at `stated_at`.
-  virtual void HearRateLimit(const EndpointProcess& endpoint,
-                             std::optional<double> rate_limit,
-                             TimePoint stated_at) = 0;
+  virtual void OnPeerRateLimit(const EndpointProcess& endpoint,
+                               std::optional<double> rate_limit,
+                               TimePoint stated_at) = 0;
   // Handles news from another host that the endpoint is draining.
-  virtual void HearDrain(const EndpointId& id, TimePoint now) = 0;
+  virtual void OnPeerDrain(const EndpointId& id, TimePoint now) = 0;
   // Advances the time: refuses calls that missed their deadline and dispatches
   // calls that can be sent now.
   virtual void Tick(TimePoint now, Decisions& out) = 0;
   // Returns the next endpoint to probe, if the budget allows a probe now.
   virtual std::optional<EndpointIndex> NextProbe(TimePoint now) = 0;
   // Returns whether NextProbe must be polled even while no call waits.
-  virtual bool probes_while_quiet() const = 0;
+  virtual bool probes_while_idle() const = 0;
   // Handles a probe that was sent and returned no report.
   virtual void ProbeFailed(EndpointIndex endpoint,
                            SendResult result,
--- a/policy/call_offer.h
+++ b/policy/call_offer.h
@@ -19,7 +19,7 @@
   CustomerId customer;
   std::int64_t share = 1;
   Urgency urgency = Urgency::kNormal;
-  ShortageTreatment when_short = ShortageTreatment::kWait;
+  OverloadPolicy overload_policy = OverloadPolicy::kWait;
   // Limit on the customer's calls that wait on this host; 0 means no limit.
   std::int64_t waiting_limit = 256;
   bool idempotent = false;
@@ -32,7 +32,7 @@
   std::vector<RegionId> allowed_regions;
   // Limit on the sends of this call; 0 means that only the service's limit
   // applies.
-  int most_sends = 0;
+  int attempt_limit = 0;
   // Time that the caller allowed for the call when it arrived here.
   Duration asked{};
   // The service objective: an answer after this time is of little use to the
--- a/policy/candidate_view.h
+++ b/policy/candidate_view.h
@@ -23,13 +23,13 @@
 class CandidateView {
  public:
   struct Choice {
-    double most_load = 1;
+    double max_load = 1;
     // Endpoint to leave out as long as there is another.
     std::optional<EndpointIndex> avoid;
     // Whether the host uses less than its fair share of the service's slots,
     // and so may send although no endpoint seems to have room. Without this, a
     // host whose reports stay high or frozen would never send again.
-    bool below_own_part = false;
+    bool below_fair_share = false;
     LoadPrior prior;
     // Added cost of sending the call to another zone.
     double zone_cost = 0;
--- a/policy/cold_allowance.h
+++ b/policy/cold_allowance.h
@@ -5,7 +5,7 @@
 
 #include "core/time.h"
 #include "policy/cold_basis.h"
-#include "policy/seat_turns.h"
+#include "policy/host_quota.h"
 #include "policy/shared_rate.h"
 
 namespace damasktack {
@@ -22,7 +22,7 @@
 
   // Stores the latest statement of how long the endpoint stays cold, and its
   // source.
-  void OnCold(ColdWord source, TimePoint until, TimePoint now) {
+  void OnCold(ColdSource source, TimePoint until, TimePoint now) {
     if (until != cold_until_) {
       source_ = source;
       stated_at_ = now;
@@ -31,12 +31,12 @@
   }
   bool IsCold(TimePoint now) const { return now < cold_until_; }
   TimePoint cold_until() const { return cold_until_; }
-  ColdWord source() const { return source_; }
+  ColdSource source() const { return source_; }
   TimePoint stated_at() const { return stated_at_; }
 
   // For a host with a host number: its quota at the endpoint.
-  SeatTurns& turns() { return turns_; }
-  bool HasTurn(TimePoint now) const { return turns_.HasOne(now); }
+  HostQuota& turns() { return turns_; }
+  bool HasHostQuota(TimePoint now) const { return turns_.IsAvailable(now); }
   // For a host without a host number: returns whether its share of the rate,
   // `share` calls a second, allows a call now.
   bool Allows(double share, TimePoint now) const {
@@ -49,9 +49,9 @@
 
  private:
   TimePoint cold_until_;
-  ColdWord source_ = ColdWord::kList;
+  ColdSource source_ = ColdSource::kList;
   TimePoint stated_at_;
-  SeatTurns turns_;
+  HostQuota turns_;
   SharedRate rate_;
 };
 
--- a/policy/cold_basis.h
+++ b/policy/cold_basis.h
@@ -5,12 +5,12 @@
 #include <string_view>
 
 #include "core/time.h"
-#include "policy/fleet_seat.h"
+#include "policy/host_number.h"
 
 namespace damasktack {
 
 // Source of the statement that an endpoint is cold.
-enum class ColdWord : std::uint8_t {
+enum class ColdSource : std::uint8_t {
   // The endpoint's entry in the published list.
   kList,
   // The endpoint itself, in its answer to a probe.
@@ -18,14 +18,14 @@
   // Inferred: the drain of its zone has ended, and no source has stated it yet.
   kDrainEnd,
 };
-std::string_view ToString(ColdWord word);
+std::string_view ToString(ColdSource word);
 
 // State of a cold endpoint, as known to the host when it sent a call there.
 struct ColdBasis {
-  ColdWord word = ColdWord::kList;
+  ColdSource word = ColdSource::kList;
   // Age of the statement, and the remaining time for which the endpoint stays
   // cold.
-  Duration word_age{};
+  Duration source_age{};
   Duration left{};
   // Calls and slots at the endpoint, and the time since the report of them was
   // requested.
@@ -34,7 +34,7 @@
   Duration asked_age{};
   // This host's number, and its estimate of the number of hosts that share the
   // endpoint.
-  FleetSeat seat;
+  HostNumber seat;
   double hosts = 0;
 
   bool operator==(const ColdBasis&) const = default;
--- a/policy/cold_endpoints.h
+++ b/policy/cold_endpoints.h
@@ -19,7 +19,7 @@
 };
 
 // Load of an endpoint, as known when a decision is made.
-struct ColdLook {
+struct ColdObservation {
   EndpointIndex index = 0;
   // Whether `calls` and `slots` come from a fresh report.
   bool is_known = false;
@@ -46,7 +46,7 @@
                   std::int64_t hosts,
                   TimePoint now);
   // Sets this host's number among the entry hosts.
-  void SetSeat(const FleetSeat& seat);
+  void SetHostNumber(const HostNumber& seat);
   // Applies an endpoint's entry in the published list. `before` is its previous
   // entry, null if the index now belongs to a new process.
   void OnListed(EndpointIndex index,
@@ -72,19 +72,21 @@
     return rate_ > 0 && IsSlow(index, now);
   }
   // Returns whether the endpoint may be sent a call now.
-  bool MayTakeOne(const ColdLook& look, TimePoint now) const;
+  bool CanAcceptCall(const ColdObservation& look, TimePoint now) const;
   // Returns the basis for sending a call there now; null if the rate of calls
   // is not limited.
   std::optional<ColdBasis> BasisOf(EndpointIndex index, TimePoint now) const;
   // Returns whether a fresh report could allow a call there.
-  bool IsWorthALook(EndpointIndex index, TimePoint now) const;
+  bool IsProbeUseful(EndpointIndex index, TimePoint now) const;
 
  private:
   // Quota at each endpoint over all hosts, in calls per window; 0 if the
   // endpoint tolerates too few calls to be divided in this way.
-  int Turns() const;
-  bool GoesByTurns() const { return host_number_.IsKnown() && Turns() > 0; }
-  void DrawAllTurns();
+  int TotalQuota() const;
+  bool UsesHostQuota() const {
+    return host_number_.IsKnown() && TotalQuota() > 0;
+  }
+  void AssignQuotas();
   // Whether this host's quota or share allows a call, regardless of the
   // endpoint's report.
   bool IsAllowed(EndpointIndex index, TimePoint now) const;
@@ -95,7 +97,7 @@
   const ColdBoundOptions options_;
   std::vector<ColdAllowance> allowances_;
   std::vector<EndpointId> ids_;
-  FleetSeat host_number_;
+  HostNumber host_number_;
   Duration cold_time_{};
   double rate_ = 0;
   FleetSize fleet_;
--- a/policy/cold_pace.h
+++ b/policy/cold_slowdown.h
@@ -1,5 +1,5 @@
-#ifndef POLICY_COLD_PACE_H_
-#define POLICY_COLD_PACE_H_
+#ifndef POLICY_COLD_SLOWDOWN_H_
+#define POLICY_COLD_SLOWDOWN_H_
 
 #include "core/time.h"
 
@@ -10,7 +10,7 @@
 //
 // Made for hundreds of endpoints that join at once, free but slow: each host
 // sent calls there that other endpoints would have completed on time.
-class ColdPace {
+class ColdSlowdown {
  public:
   double value() const { return value_; }
 
@@ -26,4 +26,4 @@
 
 }  // namespace damasktack
 
-#endif  // POLICY_COLD_PACE_H_
+#endif  // POLICY_COLD_SLOWDOWN_H_
--- a/policy/crash_ledger.h
+++ b/policy/crash_tracker.h
@@ -1,5 +1,5 @@
-#ifndef POLICY_CRASH_LEDGER_H_
-#define POLICY_CRASH_LEDGER_H_
+#ifndef POLICY_CRASH_TRACKER_H_
+#define POLICY_CRASH_TRACKER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -15,13 +15,13 @@
 namespace damasktack {
 
 // An endpoint's process ended while it ran the request.
-struct CrashSighting {
+struct CrashObservation {
   RequestFingerprint request;
   EndpointProcess endpoint;
   // By this host's clock.
   TimePoint at;
 
-  bool operator==(const CrashSighting&) const = default;
+  bool operator==(const CrashObservation&) const = default;
 };
 
 // An endpoint answered the request, so the request does not crash endpoints.
@@ -33,7 +33,7 @@
   bool operator==(const ClearedRequest&) const = default;
 };
 
-struct CrashLedgerOptions {
+struct CrashTrackerOptions {
   // Crashes of endpoints that ran a request before it is quarantined.
   std::size_t crashes_to_quarantine = 3;
   // Quarantine time from the last crash; it doubles with each further crash.
@@ -45,11 +45,11 @@
   // Time after which crashes are forgotten.
   Duration memory = std::chrono::hours(2);
   // Limits on the remembered crashes and on the unconfirmed ones among them.
-  std::size_t most_crashes = 256;
-  std::size_t most_unconfirmed = 64;
+  std::size_t max_crashes = 256;
+  std::size_t max_unconfirmed = 64;
   // Limit on the requests remembered for one crash; these are the requests that
   // the endpoint was running.
-  std::size_t most_suspects = 64;
+  std::size_t max_suspects = 64;
 };
 
 // What the owner must do after a broken call.
@@ -90,20 +90,20 @@
 // the others.
 //
 // It has no clock, sockets or threads; memory is bounded by the options.
-class CrashLedger {
+class CrashTracker {
  public:
-  CrashLedger(CrashLedgerOptions options, std::uint64_t seed);
+  CrashTracker(CrashTrackerOptions options, std::uint64_t seed);
 
   // Records a broken call to the endpoint and returns the next step.
-  SuspectStep Suspect(const CrashSighting& sighting);
+  SuspectStep Suspect(const CrashObservation& sighting);
   // Confirms that the endpoint's process has ended. Returns the observations
   // that are confirmed by this.
-  std::vector<CrashSighting> Confirm(const EndpointProcess& endpoint);
+  std::vector<CrashObservation> Confirm(const EndpointProcess& endpoint);
   void Dismiss(const EndpointProcess& endpoint);
 
   // Adds an observation confirmed by another host. Returns false if it is
   // already known, cleared or too old.
-  bool Add(const CrashSighting& sighting, TimePoint now);
+  bool Add(const CrashObservation& sighting, TimePoint now);
   // Clears the request. Returns the number of confirmed crashes that counted
   // against it.
   std::size_t Clear(const ClearedRequest& cleared, TimePoint now);
@@ -118,7 +118,8 @@
   // Returns whether enough crashes count against the request that no other
   // request explains.
   bool IsCulprit(RequestFingerprint request) const;
-  std::vector<CrashSighting> SightingsOf(RequestFingerprint request) const;
+  std::vector<CrashObservation> ObservationsOf(
+      RequestFingerprint request) const;
   // Returns the requests with at least `least` confirmed crashes, in descending
   // order of crashes.
   std::vector<RequestFingerprint> Suspects(std::size_t least) const;
@@ -154,17 +155,17 @@
 
   Crash* Find(const EndpointProcess& endpoint, TimePoint at);
   // Returns null if there is no room.
-  Crash* FindOrAdd(const CrashSighting& sighting, bool is_confirmed);
+  Crash* FindOrAdd(const CrashObservation& sighting, bool is_confirmed);
   Record RecordOf(RequestFingerprint request) const;
   // Returns the number of crashes that no request with more crashes explains.
   std::size_t CountUnexplained(RequestFingerprint request,
                                std::size_t crashes) const;
   Duration QuarantineAfter(std::size_t crashes) const;
   std::size_t CountUnconfirmed() const;
-  bool IsClearedSince(const CrashSighting& sighting) const;
+  bool IsClearedSince(const CrashObservation& sighting) const;
   void Forget(TimePoint now);
 
-  const CrashLedgerOptions options_;
+  const CrashTrackerOptions options_;
   // Factor between 1 and 1.5 on the quarantine time. It differs between hosts,
   // so that the first trial is over before the next host tries.
   double quarantine_factor_ = 1;
@@ -179,4 +180,4 @@
 
 }  // namespace damasktack
 
-#endif  // POLICY_CRASH_LEDGER_H_
+#endif  // POLICY_CRASH_TRACKER_H_
--- a/policy/ejection.h
+++ b/policy/ejection.h
@@ -18,7 +18,7 @@
 // Returns how many of `live` endpoints may be ejected at the same time. The
 // limit keeps a service usable in case of a fault in this host's own network,
 // or of requests that fail at every endpoint but not at the same moment.
-std::size_t MostEjected(std::size_t live);
+std::size_t MaxEjected(std::size_t live);
 
 // Returns how long an endpoint stays ejected after `ejections` ejections in a
 // row.
--- a/policy/endpoint_restraints.h
+++ b/policy/endpoint_limits.h
@@ -1,5 +1,5 @@
-#ifndef POLICY_ENDPOINT_RESTRAINTS_H_
-#define POLICY_ENDPOINT_RESTRAINTS_H_
+#ifndef POLICY_ENDPOINT_LIMITS_H_
+#define POLICY_ENDPOINT_LIMITS_H_
 
 #include <optional>
 #include <span>
@@ -23,9 +23,9 @@
 // free as any other. Each host keeps to its share, by the size of the fleet. An
 // endpoint that refuses a request may ask the host to pause and gets no
 // requests meanwhile.
-class EndpointRestraints {
+class EndpointLimits {
  public:
-  explicit EndpointRestraints(const HostId& host) : host_(host) {}
+  explicit EndpointLimits(const HostId& host) : host_(host) {}
 
   // `hosts` is this host's count of the entry hosts.
   void SetService(std::size_t endpoints, std::int64_t hosts, TimePoint now) {
@@ -46,24 +46,26 @@
                      TimePoint now);
   // Applies news from another host, to which the endpoint stated the limit, or
   // its end, at `stated_at`.
-  void OnHeard(EndpointIndex index,
-               std::optional<double> rate_limit,
-               TimePoint stated_at);
+  void OnPeerLimit(EndpointIndex index,
+                   std::optional<double> rate_limit,
+                   TimePoint stated_at);
   void OnSend(EndpointIndex index, TimePoint now) {
     limits_[index].schedule.OnSend(now);
   }
 
-  bool MayTakeOne(EndpointIndex index, TimePoint now) const;
+  bool CanAcceptCall(EndpointIndex index, TimePoint now) const;
   // Returns whether the endpoint has asked for a pause that has not ended: it
   // wants neither calls nor probes.
-  bool IsResting(EndpointIndex index, TimePoint now) const {
+  bool IsPaused(EndpointIndex index, TimePoint now) const {
     return now < limits_[index].paused_until;
   }
   // Returns the first time at which the endpoint can accept a call; `latest` if
   // that is not earlier.
-  TimePoint OpensAt(EndpointIndex index, TimePoint now, TimePoint latest) const;
+  TimePoint AvailableAt(EndpointIndex index,
+                        TimePoint now,
+                        TimePoint latest) const;
   // Returns the earliest AvailableAt of the endpoints; null if there are none.
-  std::optional<TimePoint> FirstOpening(
+  std::optional<TimePoint> FirstAvailableAt(
       std::span<const EndpointIndex> endpoints,
       TimePoint now,
       TimePoint latest) const;
@@ -92,4 +94,4 @@
 
 }  // namespace damasktack
 
-#endif  // POLICY_ENDPOINT_RESTRAINTS_H_
+#endif  // POLICY_ENDPOINT_LIMITS_H_
--- a/policy/endpoint_preference.h
+++ b/policy/endpoint_preference.h
@@ -20,7 +20,7 @@
   double later_group = 0.08;
   // Added cost of each group after the second, for at most `max_groups` groups.
   double further_group = 0.03;
-  std::size_t most_groups = 3;
+  std::size_t max_groups = 3;
   // Cost of another zone, whose traffic is billed. It exceeds the cost of every
   // group in the own zone.
   double other_zone = 0.6;
--- a/policy/endpoint_record.h
+++ b/policy/endpoint_record.h
@@ -43,7 +43,7 @@
   TimePoint drain_reported_at;
 
   // The endpoint announced that it is leaving; this is final for the process.
-  bool said_leaving = false;
+  bool announced_leaving = false;
 
   bool probe_pending = false;
   TimePoint probe_sent_at;
--- a/policy/endpoint_roster.cc
+++ b/policy/endpoint_roster.cc
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-EndpointIndex EndpointRoster::TakePlace() {
+EndpointIndex EndpointRoster::AllocateIndex() {
   const auto free = std::ranges::find_if(gone_, [&](EndpointIndex it) {
     const EndpointRecord& record = records_[it];
     return record.estimate.own_in_flight() == 0 && !record.probe_pending;
@@ -44,7 +44,7 @@
 }
 
 EndpointIndex EndpointRoster::Add(bool taken_as_warm, TimePoint now) {
-  const EndpointIndex index = TakePlace();
+  const EndpointIndex index = AllocateIndex();
   records_[index].state_since = now;
   if (taken_as_warm) {
     ApplyEvent(index, EndpointEvent::kServes, "listed", now);
@@ -59,11 +59,12 @@
                               TimePoint now) {
   EndpointRecord& record = records_[index];
   const bool was_leaving = record.listed_as_leaving;
-  record.listed_as_leaving = !spec.MayTakeCalls();
+  record.listed_as_leaving = !spec.AcceptsNewCalls();
   if (record.listed_as_leaving) {
     ApplyEvent(index, EndpointEvent::kDrains,
                spec.zone_drained ? "zone drained" : "list", now);
-  } else if (was_leaving && !record.drain_reported && !record.said_leaving) {
+  } else if (was_leaving && !record.drain_reported &&
+             !record.announced_leaving) {
     ApplyEvent(index, EndpointEvent::kServes, "list", now);
   }
   EnforceEjectionLimit(now);
@@ -88,7 +89,7 @@
   }
   const bool is_held =
       record.drain_reported && now - record.drain_reported_at < kDrainHoldTime;
-  if (is_held || record.said_leaving) {
+  if (is_held || record.announced_leaving) {
     return;
   }
   record.drain_reported = false;
@@ -100,7 +101,7 @@
 }
 
 void EndpointRoster::OnLeaving(EndpointIndex index, TimePoint now) {
-  if (std::exchange(records_[index].said_leaving, true)) {
+  if (std::exchange(records_[index].announced_leaving, true)) {
     return;
   }
   ApplyEvent(index, EndpointEvent::kDrains, "said that it leaves", now);
@@ -135,8 +136,8 @@
   // An answer shows that an endpoint without reports serves. This does not hold
   // for a leaving endpoint: answers to calls that were in flight when it began
   // to leave would bring it new calls until it stops.
-  const bool leaves =
-      record.listed_as_leaving || record.drain_reported || record.said_leaving;
+  const bool leaves = record.listed_as_leaving || record.drain_reported ||
+                      record.announced_leaving;
   if (result == SendResult::kAnswered && !record.estimate.has_report() &&
       !leaves) {
     ApplyEvent(index, EndpointEvent::kServes, "answer", now);
@@ -170,7 +171,7 @@
   }
   const std::size_t out =
       CountIn(EndpointState::kEjected) + CountIn(EndpointState::kTrial);
-  if (out < MostEjected(CountLive())) {
+  if (out < MaxEjected(CountLive())) {
     Eject(index, reason, now);
   }
 }
@@ -235,7 +236,7 @@
 // Keeps the number of ejected endpoints within the limit, which falls when
 // endpoints leave. Those that have been ejected longest go on trial first.
 void EndpointRoster::EnforceEjectionLimit(TimePoint now) {
-  const std::size_t most = MostEjected(CountLive());
+  const std::size_t most = MaxEjected(CountLive());
   while (CountIn(EndpointState::kEjected) > most) {
     const auto longest =
         std::ranges::min_element(records_, {}, [](const EndpointRecord& it) {
--- a/policy/endpoint_roster.h
+++ b/policy/endpoint_roster.h
@@ -88,7 +88,7 @@
   void Move(EndpointIndex index, EndpointState to);
   // Returns the lowest index of an endpoint that is gone and that nothing
   // refers to, or a new index.
-  EndpointIndex TakePlace();
+  EndpointIndex AllocateIndex();
   void RecountIfDue() const;
 
   std::vector<EndpointRecord> records_;
--- a/policy/endpoint_table.cc
+++ b/policy/endpoint_table.cc
@@ -5,7 +5,7 @@
 #include <iterator>
 #include <utility>
 
-#include "policy/probe_need.h"
+#include "policy/probe_priority.h"
 #include "policy/slow_start.h"
 
 namespace damasktack {
@@ -110,10 +110,10 @@
 // share is enlarged by the transit time relative to an execution. It is rounded
 // up for a call that may take the last slot: with fewer slots than hosts,
 // shares rounded down would leave slots idle while calls wait.
-bool EndpointTable::IsBelowOwnPart(double most_load) const {
-  const double part = (1 + ZoneCost()) * most_load * roster_.usable_slots() /
+bool EndpointTable::IsBelowFairShare(double max_load) const {
+  const double part = (1 + ZoneCost()) * max_load * roster_.usable_slots() /
                       static_cast<double>(hosts_);
-  const double whole = most_load >= 1 ? std::ceil(part) : std::floor(part);
+  const double whole = max_load >= 1 ? std::ceil(part) : std::floor(part);
   return own_in_flight_ + 1 <= std::max(whole, 1.0);
 }
 
@@ -127,8 +127,8 @@
     return std::nullopt;
   }
   const CandidateView::Choice choice{
-      request.most_load, request.avoid, IsBelowOwnPart(request.most_load),
-      Prior(now),        ZoneCost(),    now};
+      request.max_load, request.avoid, IsBelowFairShare(request.max_load),
+      Prior(now),       ZoneCost(),    now};
   const CandidateView view(open, roster_.records(), choice);
   return std::visit(
       [&](EndpointPicker auto& picker) { return picker.Pick(view, random); },
@@ -152,9 +152,9 @@
       roster_.usable(), [&](EndpointIndex it) { return AcceptsCall(it, now); });
 }
 
-std::optional<TimePoint> EndpointTable::OpensAt(TimePoint now,
-                                                TimePoint latest) const {
-  return limits_.FirstOpening(roster_.usable(), now, latest);
+std::optional<TimePoint> EndpointTable::AvailableAt(TimePoint now,
+                                                    TimePoint latest) const {
+  return limits_.FirstAvailableAt(roster_.usable(), now, latest);
 }
 
 double EndpointTable::FreeSlots(TimePoint now) const {
@@ -219,14 +219,14 @@
   roster_.OnReportedMode(endpoint, report.mode, now);
 }
 
-void EndpointTable::HearRateLimit(const EndpointProcess& endpoint,
-                                  std::optional<double> rate_limit,
-                                  TimePoint stated_at) {
+void EndpointTable::OnPeerRateLimit(const EndpointProcess& endpoint,
+                                    std::optional<double> rate_limit,
+                                    TimePoint stated_at) {
   for (EndpointIndex n = 0; n < specs_.size(); ++n) {
     const bool is_it = specs_[n].id == endpoint.id &&
                        specs_[n].started_at == endpoint.started_at;
     if (is_it && roster_.record(n).listed) {
-      limits_.OnHeard(n, rate_limit, stated_at);
+      limits_.OnPeerLimit(n, rate_limit, stated_at);
     }
   }
 }
@@ -250,7 +250,7 @@
   for (EndpointIndex n = 0; n < specs_.size(); ++n) {
     EndpointRecord& record = roster_.record(n);
     const double need =
-        limits_.IsResting(n, now) ? 0 : ProbeNeed(record, context);
+        limits_.IsPaused(n, now) ? 0 : ProbePriority(record, context);
     if (need > 0 && !has_probe && !record.probe_withheld) {
       record.probe_withheld = true;
       ++probes_withheld_;
--- a/policy/endpoint_table.h
+++ b/policy/endpoint_table.h
@@ -10,14 +10,14 @@
 #include "core/random.h"
 #include "core/time.h"
 #include "policy/call.h"
+#include "policy/endpoint_limits.h"
 #include "policy/endpoint_process.h"
 #include "policy/endpoint_report.h"
-#include "policy/endpoint_restraints.h"
 #include "policy/endpoint_roster.h"
 #include "policy/endpoint_status.h"
 #include "policy/picker_registry.h"
 #include "policy/probe_budget.h"
-#include "policy/service_norm.h"
+#include "policy/service_baseline.h"
 
 namespace damasktack {
 
@@ -37,7 +37,7 @@
   Urgency urgency = Urgency::kNormal;
   // Upper bound on the estimated load (calls in flight and queued, per slot)
   // including this call; above 1 the call would wait at the endpoint.
-  double most_load = 1.0;
+  double max_load = 1.0;
   // Endpoint to avoid if there is another: the call has just failed there.
   std::optional<EndpointIndex> avoid;
 };
@@ -65,7 +65,7 @@
   bool AnyUsable(TimePoint now) const;
   // Returns the first time at which the stated limits allow a call to some
   // endpoint; `latest` if that is not earlier, null without a usable endpoint.
-  std::optional<TimePoint> OpensAt(TimePoint now, TimePoint latest) const;
+  std::optional<TimePoint> AvailableAt(TimePoint now, TimePoint latest) const;
   // Estimated free slots over all usable endpoints, and the total of their
   // slots.
   double FreeSlots(TimePoint now) const;
@@ -102,9 +102,9 @@
   std::optional<double> RateLimit(EndpointIndex endpoint) const {
     return limits_.rate_limit(endpoint);
   }
-  void HearRateLimit(const EndpointProcess& endpoint,
-                     std::optional<double> rate_limit,
-                     TimePoint stated_at);
+  void OnPeerRateLimit(const EndpointProcess& endpoint,
+                       std::optional<double> rate_limit,
+                       TimePoint stated_at);
 
   // Handles news from another host that the endpoint is draining.
   void OnHeardDrain(const EndpointId& id, TimePoint now);
@@ -138,9 +138,9 @@
   // endpoints.
   double OthersPerSlot() const;
   LoadPrior Prior(TimePoint now) const;
-  bool IsBelowOwnPart(double most_load) const;
+  bool IsBelowFairShare(double max_load) const;
   bool AcceptsCall(EndpointIndex index, TimePoint now) const {
-    return limits_.MayTakeOne(index, now);
+    return limits_.CanAcceptCall(index, now);
   }
   // Returns the usable endpoints that accept a call now. They are stored in
   // `buf` unless all of them do.
@@ -152,8 +152,8 @@
   EndpointTableOptions options_;
   std::vector<EndpointSpec> specs_;
   EndpointRoster roster_;
-  EndpointRestraints limits_;
-  ServiceNorm baseline_;
+  EndpointLimits limits_;
+  ServiceBaseline baseline_;
   PickerVariant picker_;
   ProbeBudget budget_;
   std::int64_t hosts_ = 1;
--- a/policy/fleet_seat.h
+++ b/policy/host_number.h
@@ -1,5 +1,5 @@
-#ifndef POLICY_FLEET_SEAT_H_
-#define POLICY_FLEET_SEAT_H_
+#ifndef POLICY_HOST_NUMBER_H_
+#define POLICY_HOST_NUMBER_H_
 
 #include <cstdint>
 
@@ -8,7 +8,7 @@
 // Number of one host in the fleet, which no other host has. Operators see it as
 // the host's seat. Two hosts may have the same number for a moment, until the
 // previous holder learns that it was reassigned.
-struct FleetSeat {
+struct HostNumber {
   static constexpr std::int64_t kNone = -1;
 
   std::int64_t number = kNone;
@@ -17,9 +17,9 @@
 
   bool IsKnown() const { return number != kNone; }
 
-  bool operator==(const FleetSeat&) const = default;
+  bool operator==(const HostNumber&) const = default;
 };
 
 }  // namespace damasktack
 
-#endif  // POLICY_FLEET_SEAT_H_
+#endif  // POLICY_HOST_NUMBER_H_
--- a/policy/seat_turns.h
+++ b/policy/host_quota.h
@@ -1,11 +1,11 @@
-#ifndef POLICY_SEAT_TURNS_H_
-#define POLICY_SEAT_TURNS_H_
+#ifndef POLICY_HOST_QUOTA_H_
+#define POLICY_HOST_QUOTA_H_
 
 #include <vector>
 
 #include "core/ids.h"
 #include "core/time.h"
-#include "policy/fleet_seat.h"
+#include "policy/host_number.h"
 
 namespace damasktack {
 
@@ -16,19 +16,19 @@
 // the endpoint reports holds only for a moment. The units of an endpoint's
 // quota are assigned to host numbers by a hash that all hosts compute alike, so
 // that no host needs to know what the others send.
-class SeatTurns {
+class HostQuota {
  public:
   // One second, plus the time for which the previous call may have been in
   // transit.
-  static constexpr Duration kTurnTime = std::chrono::milliseconds(1250);
+  static constexpr Duration kQuotaWindow = std::chrono::milliseconds(1250);
 
   // Computes this host's units out of the `turns` units of the endpoint. Calls
   // already sent remain counted.
-  void Draw(const EndpointId& endpoint, int turns, const FleetSeat& seat);
+  void Draw(const EndpointId& endpoint, int turns, const HostNumber& seat);
 
   // Returns how many units are assigned to this host's number.
   int own() const { return own_units_; }
-  bool HasOne(TimePoint now) const;
+  bool IsAvailable(TimePoint now) const;
   void OnSend(TimePoint now);
 
  private:
@@ -39,4 +39,4 @@
 
 }  // namespace damasktack
 
-#endif  // POLICY_SEAT_TURNS_H_
+#endif  // POLICY_HOST_QUOTA_H_
--- a/policy/measured_balancer.h
+++ b/policy/measured_balancer.h
@@ -7,11 +7,11 @@
 #include "core/random.h"
 #include "policy/admission_queue.h"
 #include "policy/balancer.h"
-#include "policy/caller_times.h"
 #include "policy/measured_endpoints.h"
 #include "policy/measured_options.h"
 #include "policy/probe_planner.h"
 #include "policy/retry_budget.h"
+#include "policy/returning_caller_detector.h"
 
 namespace damasktack {
 
@@ -34,7 +34,9 @@
   void SetService(const ServiceSpec& service,
                   std::int64_t hosts,
                   TimePoint now) override;
-  void SetSeat(const FleetSeat& seat) override { endpoints_.SetSeat(seat); }
+  void SetHostNumber(const HostNumber& seat) override {
+    endpoints_.SetHostNumber(seat);
+  }
   void Offer(const CallOffer& offer, TimePoint now, Decisions& out) override;
   bool Withdraw(CallToken token, TimePoint now) override;
   AfterSend Finish(const CallOffer& offer,
@@ -65,15 +67,15 @@
   std::optional<double> RateLimit(EndpointIndex endpoint) const override {
     return endpoints_.RateLimit(endpoint);
   }
-  void HearRateLimit(const EndpointProcess& endpoint,
-                     std::optional<double> rate_limit,
-                     TimePoint stated_at) override {
-    endpoints_.HearRateLimit(endpoint, rate_limit, stated_at);
+  void OnPeerRateLimit(const EndpointProcess& endpoint,
+                       std::optional<double> rate_limit,
+                       TimePoint stated_at) override {
+    endpoints_.OnPeerRateLimit(endpoint, rate_limit, stated_at);
   }
-  void HearDrain(const EndpointId& id, TimePoint now) override;
+  void OnPeerDrain(const EndpointId& id, TimePoint now) override;
   void Tick(TimePoint now, Decisions& out) override;
   std::optional<EndpointIndex> NextProbe(TimePoint now) override;
-  bool probes_while_quiet() const override { return false; }
+  bool probes_while_idle() const override { return false; }
   void ProbeFailed(EndpointIndex endpoint,
                    SendResult result,
                    TimePoint now,
@@ -97,8 +99,8 @@
 
   // Returns the best endpoint among enough fresh reports, if the call is on
   // time there.
-  std::optional<MeasuredCandidate> SettleFor(const WaitingCall& call,
-                                             TimePoint now);
+  std::optional<MeasuredCandidate> BestFreshOnTime(const WaitingCall& call,
+                                                   TimePoint now);
   Decision Decide(const WaitingCall& call, TimePoint now);
   bool IsOnTime(const WaitingCall& call,
                 const MeasuredCandidate& best,
@@ -117,13 +119,15 @@
                         TimePoint now) const;
   // Whether the stated limits keep every endpoint from accepting the call for
   // longer than a call may wait.
-  bool IsShut(const WaitingCall& call, TimePoint now) const;
+  bool IsUnavailableTooLong(const WaitingCall& call, TimePoint now) const;
   Duration RetryAfter(const WaitingCall& call,
                       const std::optional<MeasuredCandidate>& best,
                       TimePoint now) const;
   bool IsLeftToCaller(const CallOffer& offer) const;
   bool MayRetry(const CallOffer& offer, const SendEnd& end, TimePoint now);
-  void NotePlace(const WaitingCall& call, bool is_there, TimePoint now);
+  void UpdateUnavailableSince(const WaitingCall& call,
+                              bool is_there,
+                              TimePoint now);
 
   const MeasuredBalancerOptions options_;
   Random random_;
@@ -131,7 +135,7 @@
   ProbePlanner probes_;
   AdmissionQueue queue_;
   RetryBudget retries_;
-  CallerTimes returning_callers_;
+  ReturningCallerDetector returning_callers_;
   // Time since which no endpoint has been able to take a call.
   std::optional<TimePoint> unavailable_since_;
   std::uint64_t retries_granted_ = 0;
--- a/policy/measured_endpoints.h
+++ b/policy/measured_endpoints.h
@@ -10,11 +10,11 @@
 #include "core/random.h"
 #include "policy/balancer.h"
 #include "policy/cold_endpoints.h"
-#include "policy/cold_pace.h"
+#include "policy/cold_slowdown.h"
+#include "policy/endpoint_limits.h"
 #include "policy/endpoint_measure.h"
 #include "policy/endpoint_preference.h"
 #include "policy/endpoint_process.h"
-#include "policy/endpoint_restraints.h"
 #include "policy/endpoint_roster.h"
 #include "policy/execution_profile.h"
 #include "policy/measured_options.h"
@@ -37,7 +37,7 @@
   bool is_good = false;
 
   // Returns the fraction of the slots in use with one more call.
-  double FillWithOne() const { return (calls + 1) / slots; }
+  double FillAfterSend() const { return (calls + 1) / slots; }
   bool HasFreeSlot() const { return calls + 1 <= slots; }
 };
 
@@ -47,7 +47,7 @@
  public:
   // Whether endpoints without a fresh report, for which only averages are
   // known, are candidates as well.
-  enum class Among : std::uint8_t { kAll, kFresh };
+  enum class CandidateSet : std::uint8_t { kAll, kFresh };
 
   explicit MeasuredEndpoints(const MeasuredBalancerOptions& options);
 
@@ -55,10 +55,10 @@
   void SetService(const ServiceSpec& service,
                   std::int64_t hosts,
                   TimePoint now);
-  void SetSeat(const FleetSeat& seat) { cold_.SetSeat(seat); }
+  void SetHostNumber(const HostNumber& seat) { cold_.SetHostNumber(seat); }
 
   // Initializes the usual execution time from the first call's objective.
-  void Expect(const CallOffer& offer);
+  void GuessUsualTime(const CallOffer& offer);
   void OnSend(CallToken token, const MeasuredCandidate& to, TimePoint now);
   void OnSendEnd(const SendEnd& end, TimePoint now);
   void OnReport(EndpointIndex endpoint,
@@ -82,41 +82,41 @@
   std::optional<double> RateLimit(EndpointIndex endpoint) const {
     return limits_.rate_limit(endpoint);
   }
-  void HearRateLimit(const EndpointProcess& endpoint,
-                     std::optional<double> rate_limit,
-                     TimePoint stated_at);
+  void OnPeerRateLimit(const EndpointProcess& endpoint,
+                       std::optional<double> rate_limit,
+                       TimePoint stated_at);
   void OnProbe(EndpointIndex endpoint, TimePoint now);
   void OnProbeFailed(EndpointIndex endpoint, SendResult result, TimePoint now);
-  void HearDrain(const EndpointId& id, TimePoint now);
+  void OnPeerDrain(const EndpointId& id, TimePoint now);
   std::vector<EndpointChange> TakeChanges();
 
-  MeasuredCandidate Weigh(EndpointIndex index, TimePoint now) const;
+  MeasuredCandidate Evaluate(EndpointIndex index, TimePoint now) const;
   // Returns the endpoint with the lowest cost for the call; null if none can
   // accept it.
   std::optional<MeasuredCandidate> Best(const WaitingCall& call,
-                                        Among among,
+                                        CandidateSet among,
                                         TimePoint now,
                                         Random& random);
   // Returns whether a usable endpoint is in a region where the call may run;
   // true if it may run anywhere.
-  bool ServesRegionsOf(const WaitingCall& call) const;
+  bool HasEndpointInRegionsOf(const WaitingCall& call) const;
   // Returns the first time at which the stated limits allow the call to some
   // endpoint; `latest` if that is not earlier, null without an endpoint in its
   // regions.
-  std::optional<TimePoint> OpensAt(const WaitingCall& call,
-                                   TimePoint now,
-                                   TimePoint latest) const;
+  std::optional<TimePoint> AvailableAt(const WaitingCall& call,
+                                       TimePoint now,
+                                       TimePoint latest) const;
   // Returns whether a fresh report of the endpoint could allow the call there.
-  bool IsWorthALook(const WaitingCall& call,
-                    EndpointIndex index,
-                    TimePoint now) const {
-    return IsAllowed(call, index) && limits_.MayTakeOne(index, now) &&
-           cold_.IsWorthALook(index, now);
+  bool IsProbeUseful(const WaitingCall& call,
+                     EndpointIndex index,
+                     TimePoint now) const {
+    return IsAllowed(call, index) && limits_.CanAcceptCall(index, now) &&
+           cold_.IsProbeUseful(index, now);
   }
   // Evaluates an endpoint without a fresh report for a probe. The cost is
   // reduced for an endpoint that has just joined and is in this host's first
   // preference group.
-  MeasuredCandidate WeighForLook(EndpointIndex index, TimePoint now) const;
+  MeasuredCandidate EvaluateForProbe(EndpointIndex index, TimePoint now) const;
 
   // Returns the basis for sending a call to a cold endpoint; null for other
   // endpoints.
@@ -163,7 +163,7 @@
   EndpointIndex Add(const EndpointSpec& spec, bool as_warm, TimePoint now);
   // Whether the call may run in the endpoint's region.
   bool IsAllowed(const WaitingCall& call, EndpointIndex index) const;
-  bool MayTakeOne(const MeasuredCandidate& candidate, TimePoint now) const;
+  bool CanAcceptCall(const MeasuredCandidate& candidate, TimePoint now) const;
   // Whether the endpoint has a stated limit and is not known to be slow or
   // full, so that a call which the limit allows should go there.
   bool IsLimitedAndFree(const MeasuredCandidate& candidate) const;
@@ -184,12 +184,12 @@
   std::unordered_multiset<EndpointId> unlisted_ids_;
   std::vector<EndpointMeasure> measures_;
   ColdEndpoints cold_;
-  EndpointRestraints limits_;
+  EndpointLimits limits_;
   EndpointPreference preference_;
   EndpointRoster roster_;
   MeasurePrior prior_;
   ExecutionProfile profile_;
-  ColdPace cold_pace_;
+  ColdSlowdown cold_pace_;
   // Calls in flight.
   std::unordered_map<CallToken, SentCall> sent_;
   std::optional<TimePoint> first_list_at_;
--- a/policy/measured_options.h
+++ b/policy/measured_options.h
@@ -20,7 +20,7 @@
   AdmissionOptions admission;
   RetryBudgetOptions retries;
   // Limit on the sends of one call, if its route allows more.
-  int most_sends = 3;
+  int attempt_limit = 3;
 
   // Maximum age of a fresh report, which is used without correction: within
   // this time the other hosts send less than one call to an endpoint.
@@ -34,8 +34,8 @@
   // each overdue first round of probes, up to `max_probe_timeout`: overdue
   // probes mean that this host is short of processor time, which further probes
   // would make worse.
-  Duration probe_patience = std::chrono::milliseconds(8);
-  Duration most_patience = std::chrono::milliseconds(40);
+  Duration probe_timeout = std::chrono::milliseconds(8);
+  Duration max_probe_timeout = std::chrono::milliseconds(40);
   // Number of probes in the first round, near endpoints first, and in each
   // further round.
   std::size_t first_probes = 2;
@@ -52,7 +52,7 @@
   double probe_part = 0.75;
   // Unspent budget is kept for degraded periods: at most the probes of this
   // time, and no fewer than a few calls need at once.
-  Duration probe_saving = std::chrono::seconds(5);
+  Duration probe_budget_window = std::chrono::seconds(5);
   double probe_burst = 15;
   // Execution time, relative to the usual one, up to which an endpoint is good
   // enough: searching for a better one costs probes and connections to other
@@ -66,7 +66,7 @@
   EndpointPreferenceOptions preference;
   ColdBoundOptions cold;
   // Time for which calls wait for a usable endpoint before they are refused.
-  Duration no_endpoint_patience = std::chrono::milliseconds(150);
+  Duration no_endpoint_timeout = std::chrono::milliseconds(150);
 };
 
 }  // namespace damasktack
--- a/policy/probe_planner.h
+++ b/policy/probe_planner.h
@@ -28,10 +28,10 @@
   void Share(std::size_t endpoints, std::int64_t hosts, TimePoint now);
 
   // Returns whether probes are pending that a decision should wait for.
-  bool AwaitsReports(TimePoint now) const;
+  bool HasPendingProbes(TimePoint now) const;
   // Requests further probes that could help the call; returns false if no
   // endpoint is left to probe or the budget is spent.
-  bool Look(const WaitingCall& call, TimePoint now, Random& random);
+  bool RequestProbes(const WaitingCall& call, TimePoint now, Random& random);
   // Returns the number of endpoints with a fresh report.
   std::size_t CountFresh(TimePoint now) const;
 
@@ -43,9 +43,9 @@
   double per_second() const { return budget_.rate(); }
 
  private:
-  Duration Patience(TimePoint now) const;
-  std::vector<MeasuredCandidate> Unknown(const WaitingCall& call,
-                                         TimePoint now) const;
+  Duration ProbeTimeout(TimePoint now) const;
+  std::vector<MeasuredCandidate> ProbeCandidates(const WaitingCall& call,
+                                                 TimePoint now) const;
 
   const MeasuredBalancerOptions options_;
   MeasuredEndpoints& endpoints_;
--- a/policy/probe_need.h
+++ b/policy/probe_priority.h
@@ -1,5 +1,5 @@
-#ifndef POLICY_PROBE_NEED_H_
-#define POLICY_PROBE_NEED_H_
+#ifndef POLICY_PROBE_PRIORITY_H_
+#define POLICY_PROBE_PRIORITY_H_
 
 #include "core/time.h"
 #include "policy/endpoint_record.h"
@@ -18,8 +18,8 @@
 // Returns the priority of probing the endpoint; 0 means that no probe is
 // needed. Reports on answers are free, so only an endpoint without a recent
 // report is probed, and never while a probe is pending.
-double ProbeNeed(const EndpointRecord& record, const ProbeContext& context);
+double ProbePriority(const EndpointRecord& record, const ProbeContext& context);
 
 }  // namespace damasktack
 
-#endif  // POLICY_PROBE_NEED_H_
+#endif  // POLICY_PROBE_PRIORITY_H_
--- a/policy/retry_budget.cc
+++ b/policy/retry_budget.cc
@@ -54,7 +54,7 @@
   });
   // Keeps memory bounded under any load. Starting over grants each customer at
   // most one retry, and the budget of the service still applies.
-  if (customers_.size() >= options_.most_customers) {
+  if (customers_.size() >= options_.max_customers) {
     customers_.clear();
   }
 }
@@ -66,7 +66,7 @@
     Refill(it->second, now);
     return it->second;
   }
-  if (customers_.size() >= options_.most_customers) {
+  if (customers_.size() >= options_.max_customers) {
     ForgetIdle(now);
   }
   return customers_.emplace(customer, Budget{1, now}).first->second;
@@ -122,7 +122,7 @@
 }
 
 bool RetryBudget::IsFutile(SendResult result) const {
-  return !SurelyNotRun(result) && failing_ > options_.most_failing;
+  return !SurelyNotRun(result) && failing_ > options_.max_failing;
 }
 
 }  // namespace damasktack
--- a/policy/retry_budget.h
+++ b/policy/retry_budget.h
@@ -27,13 +27,13 @@
   double fleet_slack = 0;
   // Time in which a customer with almost no traffic earns one retry.
   Duration idle_refill = std::chrono::seconds(10);
-  std::size_t most_customers = 4096;
+  std::size_t max_customers = 4096;
   // Fraction of failed sends above which a call that failed during its
   // execution is not retried, since the retry would most likely fail too.
-  double most_failing = 0.25;
+  double max_failing = 0.25;
   // Fraction of sends refused without execution above which retries are scarce:
   // the budget does not suffice for all of them.
-  double most_refused = 0.25;
+  double max_refused = 0.25;
 };
 
 // Limits the retries of one host for one service to a fraction of the first
@@ -65,7 +65,7 @@
 
   // Returns whether so many sends are refused that retries must be reserved for
   // the callers that need them most.
-  bool AreScarce() const { return refused_ > options_.most_refused; }
+  bool AreScarce() const { return refused_ > options_.max_refused; }
 
   std::size_t customers() const { return customers_.size(); }
 
--- a/policy/caller_times.cc
+++ b/policy/returning_caller_detector.cc
@@ -1,4 +1,4 @@
-#include "policy/caller_times.h"
+#include "policy/returning_caller_detector.h"
 
 #include <algorithm>
 
@@ -17,9 +17,9 @@
 
 }  // namespace
 
-void CallerTimes::Record(const CustomerId& route,
-                         Duration asked,
-                         TimePoint now) {
+void ReturningCallerDetector::Record(const CustomerId& route,
+                                     Duration asked,
+                                     TimePoint now) {
   if (max_allowances_.size() >= kMaxRoutes &&
       !max_allowances_.contains(route)) {
     max_allowances_.clear();
@@ -34,7 +34,8 @@
   it.now = std::max(it.now, asked);
 }
 
-bool CallerTimes::HasComeBack(const CustomerId& route, Duration asked) const {
+bool ReturningCallerDetector::IsReturning(const CustomerId& route,
+                                          Duration asked) const {
   const auto it = max_allowances_.find(route);
   return it != max_allowances_.end() &&
          asked + kMinTimeLostByRetry <
--- a/policy/caller_times.h
+++ b/policy/returning_caller_detector.h
@@ -1,5 +1,5 @@
-#ifndef POLICY_CALLER_TIMES_H_
-#define POLICY_CALLER_TIMES_H_
+#ifndef POLICY_RETURNING_CALLER_DETECTOR_H_
+#define POLICY_RETURNING_CALLER_DETECTOR_H_
 
 #include <cstddef>
 #include <unordered_map>
@@ -13,12 +13,12 @@
 // first-time callers. Callers of one route start with the same time allowance,
 // and a returning caller has less of it left. If callers start with different
 // allowances, nearly all of them count as returning, so none is preferred.
-class CallerTimes {
+class ReturningCallerDetector {
  public:
   // Records that a caller of the route allows `asked` for its call.
   void Record(const CustomerId& route, Duration asked, TimePoint now);
   // Returns whether a caller that allows `asked` is a returning one.
-  bool HasComeBack(const CustomerId& route, Duration asked) const;
+  bool IsReturning(const CustomerId& route, Duration asked) const;
 
   std::size_t routes() const { return max_allowances_.size(); }
 
@@ -35,4 +35,4 @@
 
 }  // namespace damasktack
 
-#endif  // POLICY_CALLER_TIMES_H_
+#endif  // POLICY_RETURNING_CALLER_DETECTOR_H_
--- a/policy/service_balancer.h
+++ b/policy/service_balancer.h
@@ -24,17 +24,17 @@
 
 struct BalancerOptions {
   EndpointTableOptions table;
-  std::int64_t most_waiting = 4096;
+  std::int64_t max_waiting = 4096;
   AdmissionOptions admission;
   TrunkReservationOptions reservation;
   RetryBudgetOptions retries;
   // Limit on the sends of one call.
-  int most_sends = 3;
+  int attempt_limit = 3;
   // Time for which calls wait for a usable endpoint before they are refused.
-  Duration no_endpoint_patience = std::chrono::milliseconds(250);
+  Duration no_endpoint_timeout = std::chrono::milliseconds(250);
   // Interval at which one call is sent regardless of the estimated load, if
   // calls wait and none is in flight.
-  Duration lone_send_pause = std::chrono::milliseconds(50);
+  Duration forced_send_interval = std::chrono::milliseconds(50);
 };
 
 // Balances calls by the load estimated from this host's own calls and the
@@ -71,15 +71,15 @@
   std::optional<double> RateLimit(EndpointIndex endpoint) const override {
     return table_.RateLimit(endpoint);
   }
-  void HearRateLimit(const EndpointProcess& endpoint,
-                     std::optional<double> rate_limit,
-                     TimePoint stated_at) override {
-    table_.HearRateLimit(endpoint, rate_limit, stated_at);
+  void OnPeerRateLimit(const EndpointProcess& endpoint,
+                       std::optional<double> rate_limit,
+                       TimePoint stated_at) override {
+    table_.OnPeerRateLimit(endpoint, rate_limit, stated_at);
   }
-  void HearDrain(const EndpointId& id, TimePoint now) override;
+  void OnPeerDrain(const EndpointId& id, TimePoint now) override;
   void Tick(TimePoint now, Decisions& out) override;
   std::optional<EndpointIndex> NextProbe(TimePoint now) override;
-  bool probes_while_quiet() const override { return true; }
+  bool probes_while_idle() const override { return true; }
   void ProbeFailed(EndpointIndex endpoint,
                    SendResult result,
                    TimePoint now,
@@ -95,11 +95,11 @@
  private:
   void Admit(WaitingCall call, TimePoint now, Decisions& out);
   void ProcessQueue(TimePoint now, Decisions& out);
-  void RefuseHopeless(TimePoint now, Decisions& out);
+  void RejectUnservable(TimePoint now, Decisions& out);
   // Grants a dispatch credit to each urgency that has waited too long for one.
-  void OweFloors(TimePoint now);
+  void GrantFloorCredits(TimePoint now);
   bool SendNext(TimePoint now, Decisions& out);
-  bool SendLone(TimePoint now, Decisions& out);
+  bool SendDespiteLoad(TimePoint now, Decisions& out);
   std::optional<EndpointIndex> PickFor(const WaitingCall& call,
                                        bool owed,
                                        TimePoint now);
@@ -107,14 +107,14 @@
             EndpointIndex endpoint,
             TimePoint now,
             Decisions& out);
-  bool GoesFirst(Urgency urgency) const;
+  bool HasPrecedence(Urgency urgency) const;
   bool MayRetry(const CallOffer& offer, const SendEnd& end, TimePoint now);
   void Learn(const CallOffer& offer, const SendEnd& end);
   // Network round-trip time to the endpoint.
-  Duration WayTo(EndpointIndex endpoint) const;
+  Duration RoundTripTo(EndpointIndex endpoint) const;
   Duration LeastServiceTime(Urgency urgency) const;
-  bool GivenUpOnEndpoints(TimePoint now) const;
-  void WatchUsable(TimePoint now);
+  bool HasEndpointTimeoutPassed(TimePoint now) const;
+  void UpdateUnusableSince(TimePoint now);
 
   BalancerOptions options_;
   Random random_;
--- a/policy/service_norm.h
+++ b/policy/service_baseline.h
@@ -1,12 +1,12 @@
-#ifndef POLICY_SERVICE_NORM_H_
-#define POLICY_SERVICE_NORM_H_
+#ifndef POLICY_SERVICE_BASELINE_H_
+#define POLICY_SERVICE_BASELINE_H_
 
 #include <cstdint>
 
 #include "core/time.h"
 #include "policy/decay.h"
 #include "policy/endpoint_estimate.h"
-#include "policy/report_trust.h"
+#include "policy/stale_report_detector.h"
 
 namespace damasktack {
 
@@ -20,7 +20,7 @@
 // Baseline of one service, as seen by one host: the typical load and answer
 // time of its endpoints. Endpoints are compared with the baseline, so that none
 // looks bad while the whole service is degraded.
-class ServiceNorm {
+class ServiceBaseline {
  public:
   // Records that the last reports of all endpoints together left
   // `others_per_slot` calls of other hosts.
@@ -45,9 +45,9 @@
   bool has_report_ = false;
   TimePoint reported_at_;
   Duration typical_{};
-  ReportTrust stale_report_detector_;
+  StaleReportDetector stale_report_detector_;
 };
 
 }  // namespace damasktack
 
-#endif  // POLICY_SERVICE_NORM_H_
+#endif  // POLICY_SERVICE_BASELINE_H_
--- a/policy/report_trust.cc
+++ b/policy/stale_report_detector.cc
@@ -1,4 +1,4 @@
-#include "policy/report_trust.h"
+#include "policy/stale_report_detector.h"
 
 #include <algorithm>
 
@@ -24,7 +24,7 @@
 
 // Reports less than one execution apart are ignored: nothing may have happened
 // in between, so a fresh report may well equal the previous one.
-void ReportTrust::OnReport(const ReportPair& pair, Duration execution) {
+void StaleReportDetector::OnReport(const ReportPair& pair, Duration execution) {
   if (pair.apart >= execution) {
     Learn(equal_to_previous_, pair.calls == pair.calls_before);
   }
@@ -35,12 +35,12 @@
   last_calls_ = pair.calls;
 }
 
-double ReportTrust::RepeatedFraction() const {
+double StaleReportDetector::RepeatedFraction() const {
   const double unlike = std::max(1 - equal_to_other_, kMinUnequalFraction);
   return std::clamp((equal_to_previous_ - equal_to_other_) / unlike, 0.0, 1.0);
 }
 
-bool ReportTrust::IsTrusted() const {
+bool StaleReportDetector::IsTrusted() const {
   return RepeatedFraction() <= kMaxRepeatedFraction;
 }
 
--- a/policy/report_trust.h
+++ b/policy/stale_report_detector.h
@@ -1,5 +1,5 @@
-#ifndef POLICY_REPORT_TRUST_H_
-#define POLICY_REPORT_TRUST_H_
+#ifndef POLICY_STALE_REPORT_DETECTOR_H_
+#define POLICY_STALE_REPORT_DETECTOR_H_
 
 #include <cstdint>
 #include <optional>
@@ -26,7 +26,7 @@
 // new. But one execution later, an endpoint under load seldom has the same
 // number of calls. If reports repeat the previous one more often than the
 // reports of two different endpoints coincide by chance, they are stale.
-class ReportTrust {
+class StaleReportDetector {
  public:
   // Records a report; `execution` is the typical execution time and must be
   // positive.
@@ -51,4 +51,4 @@
 
 }  // namespace damasktack
 
-#endif  // POLICY_REPORT_TRUST_H_
+#endif  // POLICY_STALE_REPORT_DETECTOR_H_
--- a/policy/target_choice.h
+++ b/policy/target_choice.h
@@ -10,7 +10,7 @@
 // weights of the route's targets. Each request is drawn independently and never
 // moved to another target, so that the weights hold on every host, also while
 // one of the targets is short of capacity. The route must have passed
-// CheckRouteBook.
+// CheckRouteTable.
 const ServiceId& ChooseTarget(const Route& route, Random& random);
 
 }  // namespace damasktack
--- a/policy/trunk_reservation.h
+++ b/policy/trunk_reservation.h
@@ -15,11 +15,11 @@
   // Limit on the load of the chosen endpoint after the send, by urgency. Urgent
   // calls may wait in a short queue there, since an old report states that an
   // endpoint is full for longer than it is.
-  std::array<double, kUrgencyCount> most_load = {1.35, 1.01, 1.01};
+  std::array<double, kUrgencyCount> max_load = {1.35, 1.01, 1.01};
   // Minimum fraction of the slots for each urgency while it has waiting calls.
   std::array<double, kUrgencyCount> floors = {1.0, 0.10, 0.05};
-  Duration shortest_pause = std::chrono::milliseconds(10);
-  Duration longest_pause = std::chrono::seconds(10);
+  Duration min_dispatch_interval = std::chrono::milliseconds(10);
+  Duration max_dispatch_interval = std::chrono::seconds(10);
 };
 
 // Slots of one service, as currently seen by one host.
@@ -40,14 +40,14 @@
   bool Allows(Urgency urgency, const SlotView& slots) const;
   // Returns the limit on the load of the endpoint; calls with a dispatch credit
   // (`owed`) have the limit of urgent ones.
-  double MostLoad(Urgency urgency, bool owed) const;
+  double MaxLoad(Urgency urgency, bool owed) const;
   // Returns how long an urgency may wait on one of `hosts` hosts without a
   // dispatch until it is granted one, so that all hosts together provide its
   // minimum share.
-  Duration LongestPause(Urgency urgency,
-                        double usable_slots,
-                        Duration mean_service_time,
-                        std::int64_t hosts) const;
+  Duration MaxDispatchInterval(Urgency urgency,
+                               double usable_slots,
+                               Duration mean_service_time,
+                               std::int64_t hosts) const;
 
  private:
   TrunkReservationOptions options_;
--- a/tests/policy/test_crash_ledger.cc
+++ b/tests/policy/test_crash_tracker.cc
@@ -1,4 +1,4 @@
-#include "policy/crash_ledger.h"
+#include "policy/crash_tracker.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -23,7 +23,7 @@
 }
 
 // Records the end of an endpoint that was running the given requests.
-void Crash(CrashLedger& ledger,
+void Crash(CrashTracker& ledger,
            int endpoint,
            std::initializer_list<RequestFingerprint> requests,
            TimePoint at) {
@@ -33,7 +33,7 @@
   ledger.Confirm(Endpoint(endpoint));
 }
 
-Suspicion SuspicionOf(CrashLedger& ledger,
+Suspicion SuspicionOf(CrashTracker& ledger,
                       RequestFingerprint it,
                       TimePoint now) {
   return ledger.Judge(it, now).suspicion;
@@ -41,7 +41,7 @@
 
 TEST_CASE(
     "three crashes quarantine a request, and each further one extends it") {
-  CrashLedger ledger({}, kSeed);
+  CrashTracker ledger({}, kSeed);
   CHECK(SuspicionOf(ledger, kCulprit, kStart) == Suspicion::kNone);
   Crash(ledger, 1, {kCulprit}, kStart);
   Crash(ledger, 2, {kCulprit}, kStart);
@@ -59,7 +59,7 @@
 // endpoints are overloaded: endpoints reset connections when they are full, and
 // answers get lost.
 TEST_CASE("broken calls whose endpoints are alive do not quarantine") {
-  CrashLedger ledger({}, kSeed);
+  CrashTracker ledger({}, kSeed);
   for (int n = 0; n < 100; ++n) {
     CHECK(ledger.Suspect({kBystander, Endpoint(n), kStart}) ==
           SuspectStep::kCheck);
@@ -73,7 +73,7 @@
 // Guards against the quarantine of a request that is repeated and is each time
 // at an endpoint that another request crashes.
 TEST_CASE("a crash that is explained by another request does not count") {
-  CrashLedger ledger({}, kSeed);
+  CrashTracker ledger({}, kSeed);
   for (int n = 0; n < 3; ++n) {
     Crash(ledger, n, {kCulprit, kBystander}, kStart + seconds(n));
   }
@@ -90,7 +90,7 @@
 
 TEST_CASE(
     "an answer clears a request of earlier crashes that are reported later") {
-  CrashLedger ledger({}, kSeed);
+  CrashTracker ledger({}, kSeed);
   Crash(ledger, 1, {kBystander}, kStart);
   Crash(ledger, 2, {kBystander}, kStart);
   CHECK(ledger.Clear({kBystander, kStart + seconds(1)}, kStart + seconds(1)) ==
@@ -103,7 +103,7 @@
 }
 
 TEST_CASE("a quarantine ends with a trial of one call at a time") {
-  CrashLedger ledger({}, kSeed);
+  CrashTracker ledger({}, kSeed);
   for (int n = 0; n < 3; ++n) {
     Crash(ledger, n, {kCulprit}, kStart);
   }
@@ -123,7 +123,7 @@
 }
 
 TEST_CASE("a crash that several calls and hosts observe counts once") {
-  CrashLedger ledger({}, kSeed);
+  CrashTracker ledger({}, kSeed);
   Crash(ledger, 1, {kCulprit}, kStart);
   CHECK(!ledger.Add({kCulprit, Endpoint(1), kStart + milliseconds(300)},
                     kStart + milliseconds(300)));
@@ -139,7 +139,7 @@
 }
 
 TEST_CASE("crashes are forgotten") {
-  CrashLedger ledger({}, kSeed);
+  CrashTracker ledger({}, kSeed);
   for (int n = 0; n < 3; ++n) {
     Crash(ledger, n, {kCulprit}, kStart);
   }
@@ -153,11 +153,11 @@
 // suspect of three crashes always is.
 TEST_CASE("a quarantine requires crashes, in any order of events") {
   rc::check([] {
-    CrashLedgerOptions options;
-    options.most_crashes = 24;
-    options.most_unconfirmed = 6;
-    options.most_suspects = 4;
-    CrashLedger ledger(options, kSeed);
+    CrashTrackerOptions options;
+    options.max_crashes = 24;
+    options.max_unconfirmed = 6;
+    options.max_suspects = 4;
+    CrashTracker ledger(options, kSeed);
     TimePoint now = kStart;
     const int steps = *rc::gen::inRange(1, 120);
     for (int n = 0; n < steps; ++n) {
@@ -181,7 +181,7 @@
         default:
           ledger.Suspect({request, endpoint, now});
       }
-      RC_ASSERT(ledger.crashes() <= options.most_crashes);
+      RC_ASSERT(ledger.crashes() <= options.max_crashes);
       const Suspicion judged = ledger.Judge(request, now).suspicion;
       const std::size_t crashes = ledger.CountCrashes(request);
       if (judged == Suspicion::kQuarantined) {
--- a/tests/policy/test_endpoint_restraints.cc
+++ b/tests/policy/test_endpoint_limits.cc
@@ -1,4 +1,4 @@
-#include "policy/endpoint_restraints.h"
+#include "policy/endpoint_limits.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -18,8 +18,8 @@
 constexpr EndpointIndex kEndpoint = 0;
 constexpr std::size_t kEndpoints = 15;
 
-EndpointRestraints MakeHost(const std::string& name, int hosts, TimePoint now) {
-  EndpointRestraints host{HostId(name)};
+EndpointLimits MakeHost(const std::string& name, int hosts, TimePoint now) {
+  EndpointLimits host{HostId(name)};
   host.SetService(kEndpoints, hosts, now);
   host.OnAdded(kEndpoint, EndpointId("e"));
   return host;
@@ -81,7 +81,7 @@
   static constexpr seconds kReconnectTime{3};
 
   struct Host {
-    EndpointRestraints restraints;
+    EndpointLimits restraints;
     TimePoint excused_until;
     TimePoint frozen_until = {};
     TimePoint disconnected_until = {};
@@ -106,7 +106,7 @@
       host.knows = true;
       host.restraints.OnAnswer(kEndpoint, {.rate_limit = limit_}, now_, now_);
     }
-    if (!host.knows || !host.restraints.MayTakeOne(kEndpoint, now_)) {
+    if (!host.knows || !host.restraints.CanAcceptCall(kEndpoint, now_)) {
       return;
     }
     host.restraints.OnSend(kEndpoint, now_);
@@ -158,18 +158,18 @@
 }
 
 TEST_CASE("an answer without the limit withdraws it") {
-  EndpointRestraints host = MakeHost("h", 1000, kStart);
+  EndpointLimits host = MakeHost("h", 1000, kStart);
   host.OnAnswer(kEndpoint, {.rate_limit = 1}, kStart, kStart + seconds(1));
   CHECK(host.rate_limit(kEndpoint) == 1);
   host.OnAnswer(kEndpoint, {}, kStart + seconds(2), kStart + seconds(3));
   CHECK_FALSE(host.rate_limit(kEndpoint));
-  CHECK(host.MayTakeOne(kEndpoint, kStart + seconds(3)));
+  CHECK(host.CanAcceptCall(kEndpoint, kStart + seconds(3)));
 }
 
 // Guards against an answer that was in flight when the endpoint began to state
 // its limit.
 TEST_CASE("an answer to an earlier request does not withdraw the limit") {
-  EndpointRestraints host = MakeHost("h", 1000, kStart);
+  EndpointLimits host = MakeHost("h", 1000, kStart);
   host.OnAnswer(kEndpoint, {.rate_limit = 1}, kStart, kStart + seconds(1));
   host.OnAnswer(kEndpoint, {}, kStart, kStart + seconds(2));
   CHECK(host.rate_limit(kEndpoint) == 1);
@@ -178,7 +178,7 @@
 // A probe may be answered by a different component of the endpoint than calls
 // are.
 TEST_CASE("an answer to a probe can state a limit but not withdraw it") {
-  EndpointRestraints host = MakeHost("h", 1000, kStart);
+  EndpointLimits host = MakeHost("h", 1000, kStart);
   host.OnProbeAnswer(kEndpoint, {.rate_limit = 1}, kStart);
   host.OnProbeAnswer(kEndpoint, {}, kStart + seconds(1));
   CHECK(host.rate_limit(kEndpoint) == 1);
@@ -187,36 +187,36 @@
 // Guards against requests to an endpoint within the pause that it asked for,
 // whatever its other answers state.
 TEST_CASE("an endpoint that asked for a pause gets no requests until it ends") {
-  EndpointRestraints host = MakeHost("h", 1, kStart);
+  EndpointLimits host = MakeHost("h", 1, kStart);
   host.OnAnswer(kEndpoint, {.rest = seconds(3)}, kStart, kStart);
   host.OnAnswer(kEndpoint, {.rest = seconds(1)}, kStart, kStart);
   host.OnAnswer(kEndpoint, {}, kStart, kStart + seconds(1));
-  CHECK_FALSE(host.MayTakeOne(kEndpoint, kStart + milliseconds(2999)));
-  CHECK(host.IsResting(kEndpoint, kStart + milliseconds(2999)));
-  CHECK(host.MayTakeOne(kEndpoint, kStart + seconds(3)));
-  CHECK(host.OpensAt(kEndpoint, kStart, kStart + seconds(9)) ==
+  CHECK_FALSE(host.CanAcceptCall(kEndpoint, kStart + milliseconds(2999)));
+  CHECK(host.IsPaused(kEndpoint, kStart + milliseconds(2999)));
+  CHECK(host.CanAcceptCall(kEndpoint, kStart + seconds(3)));
+  CHECK(host.AvailableAt(kEndpoint, kStart, kStart + seconds(9)) ==
         kStart + seconds(3));
-  CHECK(host.OpensAt(kEndpoint, kStart, kStart + seconds(2)) ==
+  CHECK(host.AvailableAt(kEndpoint, kStart, kStart + seconds(2)) ==
         kStart + seconds(2));
 }
 
 TEST_CASE("an endpoint still has its limit after its pause") {
-  EndpointRestraints host = MakeHost("h", 1000, kStart);
+  EndpointLimits host = MakeHost("h", 1000, kStart);
   host.OnAnswer(kEndpoint, {.rate_limit = 0, .rest = seconds(3)}, kStart,
                 kStart);
   const TimePoint latest = kStart + seconds(60);
-  const TimePoint opens_at = host.OpensAt(kEndpoint, kStart, latest);
+  const TimePoint opens_at = host.AvailableAt(kEndpoint, kStart, latest);
   CHECK(opens_at >= kStart + seconds(3));
-  CHECK((opens_at == latest || host.MayTakeOne(kEndpoint, opens_at)));
+  CHECK((opens_at == latest || host.CanAcceptCall(kEndpoint, opens_at)));
 }
 
 TEST_CASE("a new process at the index has no limit and no pause") {
-  EndpointRestraints host = MakeHost("h", 1000, kStart);
+  EndpointLimits host = MakeHost("h", 1000, kStart);
   host.OnAnswer(kEndpoint, {.rate_limit = 1, .rest = seconds(9)}, kStart,
                 kStart);
   host.OnAdded(kEndpoint, EndpointId("other"));
   CHECK_FALSE(host.rate_limit(kEndpoint));
-  CHECK(host.MayTakeOne(kEndpoint, kStart));
+  CHECK(host.CanAcceptCall(kEndpoint, kStart));
 }
 
 // Guards against an endpoint that never receives a request again after a limit
--- a/tests/policy/test_endpoint_roster.cc
+++ b/tests/policy/test_endpoint_roster.cc
@@ -99,7 +99,7 @@
                                CountNaively(roster, EndpointState::kDraining) -
                                CountNaively(roster, EndpointState::kGone);
       RC_ASSERT(CountNaively(roster, EndpointState::kEjected) <=
-                MostEjected(live));
+                MaxEjected(live));
     }
   }));
 }
--- a/tests/policy/test_retry_budget.cc
+++ b/tests/policy/test_retry_budget.cc
@@ -251,7 +251,7 @@
 
 TEST_CASE("memory is bounded for any number of customers") {
   RetryBudgetOptions options;
-  options.most_customers = 10;
+  options.max_customers = 10;
   RetryBudget budget(options);
   for (int n = 0; n < 1000; ++n) {
     budget.OnFirstSend(CustomerId("c" + std::to_string(n)), 10, kStart);
--- a/tests/policy/test_report_trust.cc
+++ b/tests/policy/test_stale_report_detector.cc
@@ -1,4 +1,4 @@
-#include "policy/report_trust.h"
+#include "policy/stale_report_detector.h"
 
 #include <doctest/doctest.h>
 
@@ -40,14 +40,14 @@
     }
   }
 
-  ReportTrust trust;
+  StaleReportDetector trust;
   Random random{5};
   std::array<std::int32_t, kEndpoints> calls{};
   std::array<std::int32_t, kEndpoints> before{};
 };
 
 TEST_CASE("reports are trusted initially") {
-  CHECK(ReportTrust().IsTrusted());
+  CHECK(StaleReportDetector().IsTrusted());
 }
 
 TEST_CASE("reports with new measurements are trusted") {
