--- a/policy/admission_queue.cc
+++ b/policy/admission_queue.cc
@@ -110,26 +110,26 @@
   UrgencyClass& urgency_class = ClassOf(call.offer.urgency);
   urgency_class.queue.Remove(call.offer.customer, call.offer.arrival, token);
   if (urgency_class.queue.empty()) {
-    urgency_class.owed = 0;
+    urgency_class.credit = 0;
   }
   return true;
 }
 
 bool AdmissionQueue::HasCredit(Urgency urgency) const {
-  return ClassOf(urgency).owed >= 1;
+  return ClassOf(urgency).credit >= 1;
 }
 
 void AdmissionQueue::GrantCredit(Urgency urgency) {
   if (!ClassOf(urgency).queue.empty()) {
-    ClassOf(urgency).owed = 1;
+    ClassOf(urgency).credit = 1;
   }
 }
 
 UrgencyOrder AdmissionQueue::Order() const {
   UrgencyOrder order;
-  for (const bool owed : {true, false}) {
+  for (const bool has_credit : {true, false}) {
     for (const Urgency it : kUrgencies) {
-      if (Waiting(it) > 0 && HasCredit(it) == owed) {
+      if (Waiting(it) > 0 && HasCredit(it) == has_credit) {
         order.Append(it);
       }
     }
@@ -151,17 +151,17 @@
 
 void AdmissionQueue::OnDirectDispatch(Urgency urgency) {
   UrgencyClass& taken = ClassOf(urgency);
-  taken.owed = std::max(0.0, taken.owed - 1);
+  taken.credit = std::max(0.0, taken.credit - 1);
   // Each urgency that kept waiting earns credit for its guaranteed minimum
   // share. Credit is capped at one dispatch, so that an urgency that found no
   // endpoint for a long time does not take all of them afterwards.
   for (std::size_t n = 0; n < kUrgencyCount; ++n) {
     UrgencyClass& it = classes_[n];
     if (it.queue.empty()) {
-      it.owed = 0;
+      it.credit = 0;
     } else if (&it != &taken) {
       const double earned = options_.floors[n] * CostRatio(taken, it);
-      it.owed = std::min(1.0, it.owed + earned);
+      it.credit = std::min(1.0, it.credit + earned);
     }
   }
 }
--- a/policy/admission_queue.h
+++ b/policy/admission_queue.h
@@ -93,7 +93,7 @@
     FairQueue queue;
     std::set<Deadline> deadlines;
     // Dispatch credit from the guaranteed minimum, at most 1.
-    double owed = 0;
+    double credit = 0;
   };
 
   // Returns the mean slot time of a call in `taken` divided by that of a call
--- a/policy/balancer.h
+++ b/policy/balancer.h
@@ -66,7 +66,7 @@
 
   // Sets this host's number among the entry hosts. It determines this host's
   // share of the calls that an endpoint tolerates.
-  virtual void SetHostNumber(const HostNumber& /*seat*/) {}
+  virtual void SetHostNumber(const HostNumber& /*host_number*/) {}
 
   // Accepts a call. `out` may hold its dispatch or rejection at once.
   virtual void Offer(const CallOffer& offer, TimePoint now, Decisions& out) = 0;
--- a/policy/cold_allowance.h
+++ b/policy/cold_allowance.h
@@ -35,15 +35,15 @@
   TimePoint stated_at() const { return stated_at_; }
 
   // For a host with a host number: its quota at the endpoint.
-  HostQuota& turns() { return turns_; }
-  bool HasHostQuota(TimePoint now) const { return turns_.IsAvailable(now); }
+  HostQuota& quota() { return quota_; }
+  bool HasHostQuota(TimePoint now) const { return quota_.IsAvailable(now); }
   // For a host without a host number: returns whether its share of the rate,
   // `share` calls a second, allows a call now.
   bool Allows(double share, TimePoint now) const {
     return !IsCold(now) || rate_.Allows(share, now);
   }
   void OnSend(TimePoint now) {
-    turns_.OnSend(now);
+    quota_.OnSend(now);
     rate_.OnSend(now);
   }
 
@@ -51,7 +51,7 @@
   TimePoint cold_until_;
   ColdSource source_ = ColdSource::kList;
   TimePoint stated_at_;
-  HostQuota turns_;
+  HostQuota quota_;
   SharedRate rate_;
 };
 
--- a/policy/cold_endpoints.cc
+++ b/policy/cold_endpoints.cc
@@ -33,14 +33,14 @@
   }
 }
 
-void ColdEndpoints::SetHostNumber(const HostNumber& seat) {
-  host_number_ = seat;
+void ColdEndpoints::SetHostNumber(const HostNumber& host_number) {
+  host_number_ = host_number;
   AssignQuotas();
 }
 
 void ColdEndpoints::AssignQuotas() {
   for (EndpointIndex n = 0; n < ids_.size(); ++n) {
-    allowances_[n].turns().Draw(ids_[n], TotalQuota(), host_number_);
+    allowances_[n].quota().Draw(ids_[n], TotalQuota(), host_number_);
   }
 }
 
@@ -65,7 +65,7 @@
     const std::string names = host_.text() + spec.id.text();
     allowance = ColdAllowance(XXH3_64bits(names.data(), names.size()));
     ids_[index] = spec.id;
-    allowance.turns().Draw(spec.id, TotalQuota(), host_number_);
+    allowance.quota().Draw(spec.id, TotalQuota(), host_number_);
   }
   allowance.OnCold(ColdSource::kList,
                    std::max(allowance.cold_until(), spec.cold_until), now);
@@ -85,14 +85,15 @@
   return UsesHostQuota() ? it.HasHostQuota(now) : it.Allows(Share(now), now);
 }
 
-bool ColdEndpoints::CanAcceptCall(const ColdObservation& look,
+bool ColdEndpoints::CanAcceptCall(const ColdObservation& observation,
                                   TimePoint now) const {
-  if (!IsCold(look.index, now)) {
+  if (!IsCold(observation.index, now)) {
     return true;
   }
-  const bool has_room =
-      UsesHostQuota() ? look.calls + 1 <= look.slots : look.calls < kIdleCalls;
-  return look.is_known && has_room && IsAllowed(look.index, now);
+  const bool has_room = UsesHostQuota()
+                            ? observation.calls + 1 <= observation.slots
+                            : observation.calls < kIdleCalls;
+  return observation.is_known && has_room && IsAllowed(observation.index, now);
 }
 
 // An answer requested before the latest statement cannot end it: read late, it
--- a/policy/cold_endpoints.h
+++ b/policy/cold_endpoints.h
@@ -46,7 +46,7 @@
                   std::int64_t hosts,
                   TimePoint now);
   // Sets this host's number among the entry hosts.
-  void SetHostNumber(const HostNumber& seat);
+  void SetHostNumber(const HostNumber& host_number);
   // Applies an endpoint's entry in the published list. `before` is its previous
   // entry, null if the index now belongs to a new process.
   void OnListed(EndpointIndex index,
@@ -72,7 +72,7 @@
     return rate_ > 0 && IsSlow(index, now);
   }
   // Returns whether the endpoint may be sent a call now.
-  bool CanAcceptCall(const ColdObservation& look, TimePoint now) const;
+  bool CanAcceptCall(const ColdObservation& observation, TimePoint now) const;
   // Returns the basis for sending a call there now; null if the rate of calls
   // is not limited.
   std::optional<ColdBasis> BasisOf(EndpointIndex index, TimePoint now) const;
--- a/policy/cold_slowdown.cc
+++ b/policy/cold_slowdown.cc
@@ -18,9 +18,9 @@
   if (usual <= Duration::zero()) {
     return;
   }
-  const double pace =
+  const double slowdown =
       static_cast<double>(took.count()) / static_cast<double>(usual.count());
-  value_ += (std::clamp(pace, 1.0, kMaxSlowdown) - value_) * kSampleWeight;
+  value_ += (std::clamp(slowdown, 1.0, kMaxSlowdown) - value_) * kSampleWeight;
 }
 
 }  // namespace damasktack
--- a/policy/crash_tracker.cc
+++ b/policy/crash_tracker.cc
@@ -72,9 +72,10 @@
       crashes_, [](const Crash& it) { return !it.is_confirmed; }));
 }
 
-CrashTracker::Crash* CrashTracker::FindOrAdd(const CrashObservation& sighting,
-                                             bool is_confirmed) {
-  Crash* crash = Find(sighting.endpoint, sighting.at);
+CrashTracker::Crash* CrashTracker::FindOrAdd(
+    const CrashObservation& observation,
+    bool is_confirmed) {
+  Crash* crash = Find(observation.endpoint, observation.at);
   if (crash == nullptr) {
     if (!is_confirmed && CountUnconfirmed() >= options_.max_unconfirmed) {
       return nullptr;
@@ -83,22 +84,23 @@
       const Crash* oldest = &crashes_.front();
       RemoveCrashes([&](const Crash& it) { return &it == oldest; });
     }
-    crashes_.push_back({sighting.endpoint, sighting.at, is_confirmed, {}});
+    crashes_.push_back(
+        {observation.endpoint, observation.at, is_confirmed, {}});
     crash = &crashes_.back();
   }
-  AddSuspect(*crash, sighting.request);
+  AddSuspect(*crash, observation.request);
   return crash;
 }
 
-SuspectStep CrashTracker::Suspect(const CrashObservation& sighting) {
-  Forget(sighting.at);
-  const Crash* known = Find(sighting.endpoint, sighting.at);
+SuspectStep CrashTracker::Suspect(const CrashObservation& observation) {
+  Forget(observation.at);
+  const Crash* known = Find(observation.endpoint, observation.at);
   if (known == nullptr) {
-    return FindOrAdd(sighting, false) != nullptr ? SuspectStep::kCheck
-                                                 : SuspectStep::kNone;
+    return FindOrAdd(observation, false) != nullptr ? SuspectStep::kCheck
+                                                    : SuspectStep::kNone;
   }
-  const bool is_news = known->is_confirmed && !known->Has(sighting.request);
-  FindOrAdd(sighting, false);
+  const bool is_news = known->is_confirmed && !known->Has(observation.request);
+  FindOrAdd(observation, false);
   return is_news ? SuspectStep::kShare : SuspectStep::kNone;
 }
 
@@ -123,25 +125,26 @@
   });
 }
 
-bool CrashTracker::IsClearedSince(const CrashObservation& sighting) const {
+bool CrashTracker::IsClearedSince(const CrashObservation& observation) const {
   return std::ranges::any_of(cleared_, [&](const ClearedRequest& it) {
-    return it.request == sighting.request && it.at >= sighting.at;
+    return it.request == observation.request && it.at >= observation.at;
   });
 }
 
-bool CrashTracker::Add(const CrashObservation& sighting, TimePoint now) {
+bool CrashTracker::Add(const CrashObservation& observation, TimePoint now) {
   Forget(now);
-  const bool is_old = now - sighting.at >= options_.memory;
-  if (is_old || IsClearedSince(sighting)) {
+  const bool is_old = now - observation.at >= options_.memory;
+  if (is_old || IsClearedSince(observation)) {
     return false;
   }
-  const Crash* known = Find(sighting.endpoint, sighting.at);
-  if (known != nullptr && known->is_confirmed && known->Has(sighting.request)) {
+  const Crash* known = Find(observation.endpoint, observation.at);
+  if (known != nullptr && known->is_confirmed &&
+      known->Has(observation.request)) {
     return false;
   }
-  Crash* crash = FindOrAdd(sighting, true);
+  Crash* crash = FindOrAdd(observation, true);
   crash->is_confirmed = true;
-  return crash->Has(sighting.request);
+  return crash->Has(observation.request);
 }
 
 std::size_t CrashTracker::Clear(const ClearedRequest& cleared, TimePoint now) {
@@ -186,8 +189,9 @@
 std::size_t CrashTracker::CountUnexplained(RequestFingerprint request,
                                            std::size_t crashes) const {
   const auto explains = [&](RequestFingerprint other) {
-    const std::size_t theirs = CountCrashes(other);
-    return theirs >= options_.crashes_to_quarantine && theirs > crashes;
+    const std::size_t other_crashes = CountCrashes(other);
+    return other_crashes >= options_.crashes_to_quarantine &&
+           other_crashes > crashes;
   };
   std::size_t count = 0;
   for (const Crash& it : crashes_) {
@@ -242,13 +246,13 @@
 
 std::vector<CrashObservation> CrashTracker::ObservationsOf(
     RequestFingerprint request) const {
-  std::vector<CrashObservation> sightings;
+  std::vector<CrashObservation> observations;
   for (const Crash& it : crashes_) {
     if (it.is_confirmed && it.Has(request)) {
-      sightings.push_back({request, it.endpoint, it.at});
+      observations.push_back({request, it.endpoint, it.at});
     }
   }
-  return sightings;
+  return observations;
 }
 
 std::vector<RequestFingerprint> CrashTracker::Suspects(
--- a/policy/crash_tracker.h
+++ b/policy/crash_tracker.h
@@ -95,7 +95,7 @@
   CrashTracker(CrashTrackerOptions options, std::uint64_t seed);
 
   // Records a broken call to the endpoint and returns the next step.
-  SuspectStep Suspect(const CrashObservation& sighting);
+  SuspectStep Suspect(const CrashObservation& observation);
   // Confirms that the endpoint's process has ended. Returns the observations
   // that are confirmed by this.
   std::vector<CrashObservation> Confirm(const EndpointProcess& endpoint);
@@ -103,7 +103,7 @@
 
   // Adds an observation confirmed by another host. Returns false if it is
   // already known, cleared or too old.
-  bool Add(const CrashObservation& sighting, TimePoint now);
+  bool Add(const CrashObservation& observation, TimePoint now);
   // Clears the request. Returns the number of confirmed crashes that counted
   // against it.
   std::size_t Clear(const ClearedRequest& cleared, TimePoint now);
@@ -155,14 +155,14 @@
 
   Crash* Find(const EndpointProcess& endpoint, TimePoint at);
   // Returns null if there is no room.
-  Crash* FindOrAdd(const CrashObservation& sighting, bool is_confirmed);
+  Crash* FindOrAdd(const CrashObservation& observation, bool is_confirmed);
   Record RecordOf(RequestFingerprint request) const;
   // Returns the number of crashes that no request with more crashes explains.
   std::size_t CountUnexplained(RequestFingerprint request,
                                std::size_t crashes) const;
   Duration QuarantineAfter(std::size_t crashes) const;
   std::size_t CountUnconfirmed() const;
-  bool IsClearedSince(const CrashObservation& sighting) const;
+  bool IsClearedSince(const CrashObservation& observation) const;
   void Forget(TimePoint now);
 
   const CrashTrackerOptions options_;
--- a/policy/endpoint_measure.h
+++ b/policy/endpoint_measure.h
@@ -33,8 +33,8 @@
     return reported_at_ && now - *reported_at_ <= fresh;
   }
   // Returns whether a probe is pending and has not timed out.
-  bool IsPending(TimePoint now, Duration patience) const {
-    return probe_sent_at_ && now - *probe_sent_at_ < patience;
+  bool IsPending(TimePoint now, Duration timeout) const {
+    return probe_sent_at_ && now - *probe_sent_at_ < timeout;
   }
   bool HasProbe() const { return probe_sent_at_.has_value(); }
   // Returns whether a probe has failed since `earliest` and no report has
--- a/policy/endpoint_roster.cc
+++ b/policy/endpoint_roster.cc
@@ -43,10 +43,10 @@
   return index;
 }
 
-EndpointIndex EndpointRoster::Add(bool taken_as_warm, TimePoint now) {
+EndpointIndex EndpointRoster::Add(bool assume_warm, TimePoint now) {
   const EndpointIndex index = AllocateIndex();
   records_[index].state_since = now;
-  if (taken_as_warm) {
+  if (assume_warm) {
     ApplyEvent(index, EndpointEvent::kServes, "listed", now);
     ApplyEvent(index, EndpointEvent::kWarmed, "listed", now);
   }
@@ -87,9 +87,9 @@
     EnforceEjectionLimit(now);
     return;
   }
-  const bool is_held =
+  const bool is_drain_held =
       record.drain_reported && now - record.drain_reported_at < kDrainHoldTime;
-  if (is_held || record.announced_leaving) {
+  if (is_drain_held || record.announced_leaving) {
     return;
   }
   record.drain_reported = false;
--- a/policy/endpoint_roster.h
+++ b/policy/endpoint_roster.h
@@ -20,9 +20,9 @@
 // defines.
 class EndpointRoster {
  public:
-  // Adds a new endpoint. With `taken_as_warm` it serves at once: a host that
+  // Adds a new endpoint. With `assume_warm` it serves at once: a host that
   // has just started knows no endpoint, but the endpoints are not new.
-  EndpointIndex Add(bool taken_as_warm, TimePoint now);
+  EndpointIndex Add(bool assume_warm, TimePoint now);
   // Applies an endpoint's entry in the published list, or its removal.
   void OnListed(EndpointIndex index, const EndpointSpec& spec, TimePoint now);
   void OnUnlisted(EndpointIndex index, TimePoint now);
--- a/policy/endpoint_table.cc
+++ b/policy/endpoint_table.cc
@@ -59,11 +59,11 @@
 }
 
 void EndpointTable::ApplySpec(const EndpointSpec& spec,
-                              bool taken_as_warm,
+                              bool assume_warm,
                               TimePoint now) {
   std::optional<EndpointIndex> index = Find(spec);
   if (!index) {
-    index = roster_.Add(taken_as_warm, now);
+    index = roster_.Add(assume_warm, now);
     specs_.resize(std::max<std::size_t>(specs_.size(), *index + 1));
     limits_.OnAdded(*index, spec.id);
   }
@@ -223,15 +223,15 @@
                                     std::optional<double> rate_limit,
                                     TimePoint stated_at) {
   for (EndpointIndex n = 0; n < specs_.size(); ++n) {
-    const bool is_it = specs_[n].id == endpoint.id &&
-                       specs_[n].started_at == endpoint.started_at;
-    if (is_it && roster_.record(n).listed) {
+    const bool is_match = specs_[n].id == endpoint.id &&
+                          specs_[n].started_at == endpoint.started_at;
+    if (is_match && roster_.record(n).listed) {
       limits_.OnPeerLimit(n, rate_limit, stated_at);
     }
   }
 }
 
-void EndpointTable::OnHeardDrain(const EndpointId& id, TimePoint now) {
+void EndpointTable::OnPeerDrain(const EndpointId& id, TimePoint now) {
   for (EndpointIndex n = 0; n < specs_.size(); ++n) {
     if (specs_[n].id == id && roster_.record(n).listed) {
       roster_.OnReportedMode(n, EndpointMode::kDraining, now);
@@ -245,28 +245,28 @@
       Prior(now).relaxation,
       own_in_flight_ > 0 || now - last_send_ < kIdleTimeout, now};
   const bool has_probe = budget_.HasProbe(now);
-  std::optional<EndpointIndex> neediest;
+  std::optional<EndpointIndex> best_endpoint;
   double highest = 0;
   for (EndpointIndex n = 0; n < specs_.size(); ++n) {
     EndpointRecord& record = roster_.record(n);
-    const double need =
+    const double priority =
         limits_.IsPaused(n, now) ? 0 : ProbePriority(record, context);
-    if (need > 0 && !has_probe && !record.probe_withheld) {
+    if (priority > 0 && !has_probe && !record.probe_withheld) {
       record.probe_withheld = true;
       ++probes_withheld_;
     }
-    if (need > highest) {
-      highest = need;
-      neediest = n;
+    if (priority > highest) {
+      highest = priority;
+      best_endpoint = n;
     }
   }
-  if (!neediest || !budget_.Take(now)) {
+  if (!best_endpoint || !budget_.Take(now)) {
     return std::nullopt;
   }
-  roster_.record(*neediest).probe_pending = true;
-  roster_.record(*neediest).probe_sent_at = now;
+  roster_.record(*best_endpoint).probe_pending = true;
+  roster_.record(*best_endpoint).probe_sent_at = now;
   ++probes_sent_;
-  return neediest;
+  return best_endpoint;
 }
 
 void EndpointTable::ProbeFailed(EndpointIndex endpoint,
--- a/policy/endpoint_table.h
+++ b/policy/endpoint_table.h
@@ -107,7 +107,7 @@
                        TimePoint stated_at);
 
   // Handles news from another host that the endpoint is draining.
-  void OnHeardDrain(const EndpointId& id, TimePoint now);
+  void OnPeerDrain(const EndpointId& id, TimePoint now);
 
   // Returns the next endpoint to probe, if the budget allows a probe now.
   std::optional<EndpointIndex> NextProbe(TimePoint now);
@@ -129,7 +129,7 @@
     }
   }
   std::optional<EndpointIndex> Find(const EndpointSpec& spec) const;
-  void ApplySpec(const EndpointSpec& spec, bool taken_as_warm, TimePoint now);
+  void ApplySpec(const EndpointSpec& spec, bool assume_warm, TimePoint now);
   // Returns the round trip to another zone, relative to the time of an
   // execution. This is the difference in load per slot that outweighs the round
   // trip.
--- a/policy/execution_profile.cc
+++ b/policy/execution_profile.cc
@@ -41,9 +41,9 @@
   const std::size_t part = QuarterOf(fill);
   const double longer =
       static_cast<double>(took.count()) / static_cast<double>(usual_.count());
-  const bool is_beyond = slowdown_[part] >= kMaxSlowdown || longer < 1;
-  const bool tells_of_usual = part < kFirstLearnedPart || is_beyond;
-  if (tells_of_usual) {
+  const bool is_out_of_range = slowdown_[part] >= kMaxSlowdown || longer < 1;
+  const bool affects_usual_time = part < kFirstLearnedPart || is_out_of_range;
+  if (affects_usual_time) {
     usual_ = Scaled(usual_, StepTowards(1, longer / slowdown_[part]));
   }
   if (part >= kFirstLearnedPart) {
--- a/policy/execution_time.cc
+++ b/policy/execution_time.cc
@@ -25,9 +25,9 @@
   // A busy endpoint completes as many calls as it has slots within one mean
   // execution time.
   const double wait = ends_by_slot_ * mean_;
-  const auto whole = static_cast<double>(took.count());
-  const double rest = whole - static_cast<double>(round_trip.count()) - wait;
-  const double execution = std::max(rest, whole * kMinExecutionFraction);
+  const auto total = static_cast<double>(took.count());
+  const double rest = total - static_cast<double>(round_trip.count()) - wait;
+  const double execution = std::max(rest, total * kMinExecutionFraction);
   mean_ += (execution - mean_) * (mean_ == 0 ? 1 : kSampleWeight);
   return Duration(static_cast<Duration::rep>(execution));
 }
--- a/policy/host_quota.cc
+++ b/policy/host_quota.cc
@@ -12,26 +12,28 @@
 // Uses linear hashing: an additional host number takes units from only one
 // other number, so that hosts that disagree on the count of numbers hardly
 // disagree on the assignment.
-std::int64_t HostNumberOfUnit(std::uint64_t drawn, std::int64_t seats) {
-  const auto all = std::bit_ceil(static_cast<std::uint64_t>(seats));
+std::int64_t HostNumberOfUnit(std::uint64_t drawn, std::int64_t count) {
+  const auto all = std::bit_ceil(static_cast<std::uint64_t>(count));
   const auto number = static_cast<std::int64_t>(drawn & (all - 1));
-  return number < seats ? number
+  return number < count ? number
                         : static_cast<std::int64_t>(drawn & (all / 2 - 1));
 }
 
 }  // namespace
 
 void HostQuota::Draw(const EndpointId& endpoint,
-                     int turns,
-                     const HostNumber& seat) {
+                     int units,
+                     const HostNumber& host_number) {
   own_units_ = 0;
-  if (!seat.IsKnown()) {
+  if (!host_number.IsKnown()) {
     return;
   }
   const auto seed = XXH3_64bits(endpoint.text().data(), endpoint.text().size());
-  for (int turn = 0; turn < turns; ++turn) {
-    const auto drawn = XXH3_64bits_withSeed(&turn, sizeof(turn), seed);
-    own_units_ += HostNumberOfUnit(drawn, seat.seats) == seat.number ? 1 : 0;
+  for (int unit = 0; unit < units; ++unit) {
+    const auto drawn = XXH3_64bits_withSeed(&unit, sizeof(unit), seed);
+    own_units_ +=
+        HostNumberOfUnit(drawn, host_number.seats) == host_number.number ? 1
+                                                                         : 0;
   }
 }
 
--- a/policy/host_quota.h
+++ b/policy/host_quota.h
@@ -22,9 +22,11 @@
   // transit.
   static constexpr Duration kQuotaWindow = std::chrono::milliseconds(1250);
 
-  // Computes this host's units out of the `turns` units of the endpoint. Calls
-  // already sent remain counted.
-  void Draw(const EndpointId& endpoint, int turns, const HostNumber& seat);
+  // Computes this host's part of the `units` that the endpoint has in total.
+  // Calls already sent remain counted.
+  void Draw(const EndpointId& endpoint,
+            int units,
+            const HostNumber& host_number);
 
   // Returns how many units are assigned to this host's number.
   int own() const { return own_units_; }
--- a/policy/measured_balancer.cc
+++ b/policy/measured_balancer.cc
@@ -80,10 +80,10 @@
                        probes_.RequestProbes(call, now, random_);
     const TimePoint since =
         std::min(unavailable_since_.value_or(now), call.offer.arrival);
-    const bool is_given_up =
+    const bool has_timed_out =
         !looks && (IsUnavailableTooLong(call, now) ||
                    now - since >= options_.no_endpoint_timeout);
-    return {is_given_up ? Step::kRefuse : Step::kWait, best};
+    return {has_timed_out ? Step::kRefuse : Step::kWait, best};
   }
   if (best->is_good) {
     return {Step::kSend, best};
@@ -105,9 +105,9 @@
 
 bool MeasuredBalancer::IsUnavailableTooLong(const WaitingCall& call,
                                             TimePoint now) const {
-  const TimePoint patience_ends = now + options_.no_endpoint_timeout;
-  const auto opens_at = endpoints_.AvailableAt(call, now, patience_ends);
-  return opens_at && *opens_at >= patience_ends;
+  const TimePoint timeout_at = now + options_.no_endpoint_timeout;
+  const auto opens_at = endpoints_.AvailableAt(call, now, timeout_at);
+  return opens_at && *opens_at >= timeout_at;
 }
 
 void MeasuredBalancer::Offer(const CallOffer& offer,
@@ -282,9 +282,9 @@
 
 // A call that is restricted to some regions says nothing about the others.
 void MeasuredBalancer::UpdateUnavailableSince(const WaitingCall& call,
-                                              bool is_there,
+                                              bool is_available,
                                               TimePoint now) {
-  if (is_there) {
+  if (is_available) {
     unavailable_since_.reset();
   } else if (!unavailable_since_ && call.offer.allowed_regions.empty()) {
     unavailable_since_ = now;
--- a/policy/measured_balancer.h
+++ b/policy/measured_balancer.h
@@ -34,8 +34,8 @@
   void SetService(const ServiceSpec& service,
                   std::int64_t hosts,
                   TimePoint now) override;
-  void SetHostNumber(const HostNumber& seat) override {
-    endpoints_.SetHostNumber(seat);
+  void SetHostNumber(const HostNumber& host_number) override {
+    endpoints_.SetHostNumber(host_number);
   }
   void Offer(const CallOffer& offer, TimePoint now, Decisions& out) override;
   bool Withdraw(CallToken token, TimePoint now) override;
@@ -126,7 +126,7 @@
   bool IsLeftToCaller(const CallOffer& offer) const;
   bool MayRetry(const CallOffer& offer, const SendEnd& end, TimePoint now);
   void UpdateUnavailableSince(const WaitingCall& call,
-                              bool is_there,
+                              bool is_available,
                               TimePoint now);
 
   const MeasuredBalancerOptions options_;
--- a/policy/measured_endpoints.cc
+++ b/policy/measured_endpoints.cc
@@ -61,12 +61,13 @@
   if (!first_list_at_ && !service.endpoints.empty()) {
     first_list_at_ = now;
   }
-  const bool as_warm = first_list_at_ && now - *first_list_at_ < kStartupPeriod;
+  const bool assume_warm =
+      first_list_at_ && now - *first_list_at_ < kStartupPeriod;
   bool has_changed = false;
   for (const EndpointSpec& it : service.endpoints) {
     const auto known = listed_.find(it.id);
     if (known == listed_.end() || specs_[known->second] != it) {
-      ApplySpec(it, as_warm, now);
+      ApplySpec(it, assume_warm, now);
       has_changed = true;
     }
   }
@@ -95,11 +96,11 @@
 }
 
 void MeasuredEndpoints::ApplySpec(const EndpointSpec& spec,
-                                  bool as_warm,
+                                  bool assume_warm,
                                   TimePoint now) {
   const auto [known, is_new] = listed_.try_emplace(spec.id);
   if (is_new) {
-    known->second = Add(spec, as_warm, now);
+    known->second = Add(spec, assume_warm, now);
   }
   const EndpointIndex index = known->second;
   cold_.OnListed(index, is_new ? nullptr : &specs_[index], spec, now);
@@ -111,10 +112,10 @@
 }
 
 EndpointIndex MeasuredEndpoints::Add(const EndpointSpec& spec,
-                                     bool as_warm,
+                                     bool assume_warm,
                                      TimePoint now) {
   const bool has_restarted = unlisted_ids_.contains(spec.id);
-  const EndpointIndex index = roster_.Add(as_warm && !has_restarted, now);
+  const EndpointIndex index = roster_.Add(assume_warm && !has_restarted, now);
   if (index < specs_.size()) {
     const auto before = unlisted_ids_.find(specs_[index].id);
     if (before != unlisted_ids_.end()) {
@@ -211,7 +212,7 @@
   if (record.state == EndpointState::kTrial) {
     pace *= kTrialCostFactor;
   } else if (cold_.IsSlow(index, now)) {
-    pace *= cold_pace_.value();
+    pace *= cold_slowdown_.value();
   } else if (record.state != EndpointState::kServing && HasHadCalls(record)) {
     pace *= kSlowStartCostFactor;
   }
@@ -255,7 +256,7 @@
 
 std::optional<MeasuredCandidate> MeasuredEndpoints::Best(
     const WaitingCall& call,
-    CandidateSet among,
+    CandidateSet candidates,
     TimePoint now,
     Random& random) {
   roster_.Advance(now);
@@ -276,7 +277,7 @@
       continue;
     }
     MeasuredCandidate it = Evaluate(index, now);
-    if ((among == CandidateSet::kFresh && !it.is_fresh) ||
+    if ((candidates == CandidateSet::kFresh && !it.is_fresh) ||
         !CanAcceptCall(it, now)) {
       continue;
     }
@@ -313,7 +314,7 @@
   SentCall& sent = sent_[token];
   sent = {to.FillAfterSend(), to.pace, to.is_fresh, std::nullopt};
   if (cold_.IsSlow(to.index, now)) {
-    sent.warm_time = Scaled(to.finish, 1 / cold_pace_.value());
+    sent.warm_time = Scaled(to.finish, 1 / cold_slowdown_.value());
   }
   cold_.OnSend(to.index, now);
   limits_.OnSend(to.index, now);
@@ -340,7 +341,7 @@
 void MeasuredEndpoints::Learn(const SendEnd& end, const SentCall& sent) {
   if (sent.warm_time) {
     if (end.result == SendResult::kAnswered && sent.is_fresh) {
-      cold_pace_.OnExecution(end.took, *sent.warm_time);
+      cold_slowdown_.OnExecution(end.took, *sent.warm_time);
     }
     return;
   }
--- a/policy/measured_endpoints.h
+++ b/policy/measured_endpoints.h
@@ -55,7 +55,9 @@
   void SetService(const ServiceSpec& service,
                   std::int64_t hosts,
                   TimePoint now);
-  void SetHostNumber(const HostNumber& seat) { cold_.SetHostNumber(seat); }
+  void SetHostNumber(const HostNumber& host_number) {
+    cold_.SetHostNumber(host_number);
+  }
 
   // Initializes the usual execution time from the first call's objective.
   void GuessUsualTime(const CallOffer& offer);
@@ -94,7 +96,7 @@
   // Returns the endpoint with the lowest cost for the call; null if none can
   // accept it.
   std::optional<MeasuredCandidate> Best(const WaitingCall& call,
-                                        CandidateSet among,
+                                        CandidateSet candidates,
                                         TimePoint now,
                                         Random& random);
   // Returns whether a usable endpoint is in a region where the call may run;
@@ -158,9 +160,9 @@
   // Removes the processes that are no longer listed; returns whether there were
   // any.
   bool Unlist(const ServiceSpec& service, TimePoint now);
-  void ApplySpec(const EndpointSpec& spec, bool as_warm, TimePoint now);
+  void ApplySpec(const EndpointSpec& spec, bool assume_warm, TimePoint now);
   // Adds an endpoint that is not listed yet and returns its index.
-  EndpointIndex Add(const EndpointSpec& spec, bool as_warm, TimePoint now);
+  EndpointIndex Add(const EndpointSpec& spec, bool assume_warm, TimePoint now);
   // Whether the call may run in the endpoint's region.
   bool IsAllowed(const WaitingCall& call, EndpointIndex index) const;
   bool CanAcceptCall(const MeasuredCandidate& candidate, TimePoint now) const;
@@ -189,7 +191,7 @@
   EndpointRoster roster_;
   MeasurePrior prior_;
   ExecutionProfile profile_;
-  ColdSlowdown cold_pace_;
+  ColdSlowdown cold_slowdown_;
   // Calls in flight.
   std::unordered_map<CallToken, SentCall> sent_;
   std::optional<TimePoint> first_list_at_;
--- a/policy/probe_budget.cc
+++ b/policy/probe_budget.cc
@@ -28,16 +28,16 @@
 
 void ProbeBudget::Accumulate(TimePoint now) {
   // A time before the last one adds nothing, so that no interval counts twice.
-  const std::int64_t passed =
+  const std::int64_t elapsed =
       std::max<std::int64_t>((Duration(now - at_)).count(), 0);
   at_ = std::max(at_, now);
   if (rate_ == 0) {
     return;
   }
   const std::int64_t time_to_full = (kOneProbe - accumulated_) / rate_ + 1;
-  accumulated_ = passed >= time_to_full
+  accumulated_ = elapsed >= time_to_full
                      ? kOneProbe
-                     : std::min(kOneProbe, accumulated_ + passed * rate_);
+                     : std::min(kOneProbe, accumulated_ + elapsed * rate_);
 }
 
 bool ProbeBudget::HasProbe(TimePoint now) {
--- a/policy/probe_planner.cc
+++ b/policy/probe_planner.cc
@@ -27,9 +27,9 @@
   if (!requested_probes_.empty()) {
     return true;
   }
-  const Duration patience = ProbeTimeout(now);
+  const Duration timeout = ProbeTimeout(now);
   return std::ranges::any_of(endpoints_.usable(), [&](EndpointIndex it) {
-    return endpoints_.measure(it).IsPending(now, patience);
+    return endpoints_.measure(it).IsPending(now, timeout);
   });
 }
 
@@ -78,10 +78,10 @@
     return false;
   }
   std::vector<MeasuredCandidate> unknown = ProbeCandidates(call, now);
-  const bool is_first_look = CountFresh(now) == 0;
+  const bool is_first_round = CountFresh(now) == 0;
   const std::size_t most =
-      std::min(unknown.size(),
-               is_first_look ? options_.first_probes : options_.further_probes);
+      std::min(unknown.size(), is_first_round ? options_.first_probes
+                                              : options_.further_probes);
   std::ranges::shuffle(unknown, random);
   std::ranges::partial_sort(unknown,
                             unknown.begin() + static_cast<std::ptrdiff_t>(most),
--- a/policy/probe_priority.cc
+++ b/policy/probe_priority.cc
@@ -41,8 +41,8 @@
   if (age < stale) {
     return 0;
   }
-  const double worth = takes_calls ? 1 : kPriorityWithoutCalls;
-  return worth * static_cast<double>(age.count());
+  const double weight = takes_calls ? 1 : kPriorityWithoutCalls;
+  return weight * static_cast<double>(age.count());
 }
 
 }  // namespace damasktack
--- a/policy/service_balancer.cc
+++ b/policy/service_balancer.cc
@@ -164,7 +164,7 @@
 }
 
 void ServiceBalancer::OnPeerDrain(const EndpointId& id, TimePoint now) {
-  table_.OnHeardDrain(id, now);
+  table_.OnPeerDrain(id, now);
 }
 
 void ServiceBalancer::Tick(TimePoint now, Decisions& out) {
@@ -219,8 +219,8 @@
 
 bool ServiceBalancer::SendNext(TimePoint now, Decisions& out) {
   for (const Urgency urgency : queue_.Order()) {
-    const bool owed = queue_.HasCredit(urgency);
-    const auto endpoint = PickFor(*queue_.Head(urgency), owed, now);
+    const bool has_credit = queue_.HasCredit(urgency);
+    const auto endpoint = PickFor(*queue_.Head(urgency), has_credit, now);
     if (endpoint) {
       Send(queue_.Take(urgency), *endpoint, now, out);
       return true;
@@ -249,16 +249,16 @@
 }
 
 std::optional<EndpointIndex> ServiceBalancer::PickFor(const WaitingCall& call,
-                                                      bool owed,
+                                                      bool has_credit,
                                                       TimePoint now) {
   const Urgency urgency = call.offer.urgency;
-  if (!owed && urgency != Urgency::kUrgent) {
+  if (!has_credit && urgency != Urgency::kUrgent) {
     const SlotView slots{table_.FreeSlots(now), table_.UsableSlots(now)};
     if (!reservation_.Allows(urgency, slots)) {
       return std::nullopt;
     }
   }
-  const PickRequest request{urgency, reservation_.MaxLoad(urgency, owed),
+  const PickRequest request{urgency, reservation_.MaxLoad(urgency, has_credit),
                             call.avoid};
   return table_.Pick(request, now, random_);
 }
@@ -294,11 +294,12 @@
 // Also true if the stated limits keep every endpoint from accepting a call for
 // longer than calls wait for one.
 bool ServiceBalancer::HasEndpointTimeoutPassed(TimePoint now) const {
-  const TimePoint patience_ends = now + options_.no_endpoint_timeout;
-  const auto opens_at = table_.AvailableAt(now, patience_ends);
-  const bool is_shut = opens_at && *opens_at >= patience_ends;
-  return is_shut || (unusable_since_ &&
-                     now - *unusable_since_ >= options_.no_endpoint_timeout);
+  const TimePoint timeout_at = now + options_.no_endpoint_timeout;
+  const auto opens_at = table_.AvailableAt(now, timeout_at);
+  const bool is_unavailable = opens_at && *opens_at >= timeout_at;
+  return is_unavailable ||
+         (unusable_since_ &&
+          now - *unusable_since_ >= options_.no_endpoint_timeout);
 }
 
 std::optional<EndpointIndex> ServiceBalancer::NextProbe(TimePoint now) {
--- a/policy/service_balancer.h
+++ b/policy/service_balancer.h
@@ -101,7 +101,7 @@
   bool SendNext(TimePoint now, Decisions& out);
   bool SendDespiteLoad(TimePoint now, Decisions& out);
   std::optional<EndpointIndex> PickFor(const WaitingCall& call,
-                                       bool owed,
+                                       bool has_credit,
                                        TimePoint now);
   void Send(const WaitingCall& call,
             EndpointIndex endpoint,
--- a/policy/service_baseline.cc
+++ b/policy/service_baseline.cc
@@ -59,9 +59,9 @@
 
 double ServiceBaseline::OthersPerSlot(const OwnLoad& own, TimePoint now) const {
   const double from_own = OthersFromOwn(own);
-  const double left =
+  const double fraction =
       has_report_ ? Decay(now - reported_at_, kReportTimeConstant) : 0.0;
-  return from_own + (others_per_slot_ - from_own) * left;
+  return from_own + (others_per_slot_ - from_own) * fraction;
 }
 
 LoadPrior ServiceBaseline::Prior(const OwnLoad& own, TimePoint now) const {
--- a/policy/slow_start.h
+++ b/policy/slow_start.h
@@ -20,10 +20,10 @@
     case EndpointState::kServing:
       return 1;
     case EndpointState::kWarming: {
-      const double passed =
+      const double elapsed =
           static_cast<double>((now - record.state_since).count()) /
           static_cast<double>(kSlowStartTime.count());
-      return std::clamp(passed, kInitialShare, 1.0);
+      return std::clamp(elapsed, kInitialShare, 1.0);
     }
     case EndpointState::kStarting:
     case EndpointState::kTrial:
--- a/policy/trunk_reservation.cc
+++ b/policy/trunk_reservation.cc
@@ -9,8 +9,8 @@
   return spare == 0 || slots.free > spare * slots.usable;
 }
 
-double TrunkReservation::MaxLoad(Urgency urgency, bool owed) const {
-  const Urgency as = owed ? Urgency::kUrgent : urgency;
+double TrunkReservation::MaxLoad(Urgency urgency, bool has_credit) const {
+  const Urgency as = has_credit ? Urgency::kUrgent : urgency;
   return options_.max_load[static_cast<std::size_t>(as)];
 }
 
--- a/policy/trunk_reservation.h
+++ b/policy/trunk_reservation.h
@@ -39,8 +39,8 @@
   // Returns whether a call of this urgency may take a slot.
   bool Allows(Urgency urgency, const SlotView& slots) const;
   // Returns the limit on the load of the endpoint; calls with a dispatch credit
-  // (`owed`) have the limit of urgent ones.
-  double MaxLoad(Urgency urgency, bool owed) const;
+  // (`has_credit`) have the limit of urgent ones.
+  double MaxLoad(Urgency urgency, bool has_credit) const;
   // Returns how long an urgency may wait on one of `hosts` hosts without a
   // dispatch until it is granted one, so that all hosts together provide its
   // minimum share.
--- a/tests/policy/test_cold_allowance.cc
+++ b/tests/policy/test_cold_allowance.cc
@@ -85,8 +85,8 @@
   }
 
   std::size_t size() const { return hosts_.size(); }
-  void SetHostNumber(std::size_t host, const HostNumber& seat) {
-    hosts_[host].SetHostNumber(seat);
+  void SetHostNumber(std::size_t host, const HostNumber& host_number) {
+    hosts_[host].SetHostNumber(host_number);
   }
   // Returns whether the host sends, which it does whenever it may.
   bool Send(std::size_t host, TimePoint now) {
@@ -127,11 +127,11 @@
                         "e" + std::to_string(*rc::gen::inRange(0, 1000)));
     const int extra_numbers = *rc::gen::inRange(0, hosts + 1);
     for (int n = 0; n < hosts; ++n) {
-      const HostNumber seat =
+      const HostNumber host_number =
           differ_in_count
               ? HostNumber{n, n % 2 == 0 ? hosts : hosts + extra_numbers}
               : HostNumber{n / 2, (hosts + 1) / 2};
-      fleet.SetHostNumber(static_cast<std::size_t>(n), seat);
+      fleet.SetHostNumber(static_cast<std::size_t>(n), host_number);
     }
     const int max_transit_ms = *rc::gen::inRange(0, 250);
     std::mt19937 random(*rc::gen::arbitrary<unsigned>());
--- a/tests/policy/test_crash_tracker.cc
+++ b/tests/policy/test_crash_tracker.cc
@@ -23,129 +23,129 @@
 }
 
 // Records the end of an endpoint that was running the given requests.
-void Crash(CrashTracker& ledger,
+void Crash(CrashTracker& tracker,
            int endpoint,
            std::initializer_list<RequestFingerprint> requests,
            TimePoint at) {
   for (const RequestFingerprint it : requests) {
-    ledger.Suspect({it, Endpoint(endpoint), at});
+    tracker.Suspect({it, Endpoint(endpoint), at});
   }
-  ledger.Confirm(Endpoint(endpoint));
+  tracker.Confirm(Endpoint(endpoint));
 }
 
-Suspicion SuspicionOf(CrashTracker& ledger,
+Suspicion SuspicionOf(CrashTracker& tracker,
                       RequestFingerprint it,
                       TimePoint now) {
-  return ledger.Judge(it, now).suspicion;
+  return tracker.Judge(it, now).suspicion;
 }
 
 TEST_CASE(
     "three crashes quarantine a request, and each further one extends it") {
-  CrashTracker ledger({}, kSeed);
-  CHECK(SuspicionOf(ledger, kCulprit, kStart) == Suspicion::kNone);
-  Crash(ledger, 1, {kCulprit}, kStart);
-  Crash(ledger, 2, {kCulprit}, kStart);
-  CHECK(SuspicionOf(ledger, kCulprit, kStart) == Suspicion::kSuspected);
-  Crash(ledger, 3, {kCulprit}, kStart);
-  const RequestJudgement third = ledger.Judge(kCulprit, kStart);
+  CrashTracker tracker({}, kSeed);
+  CHECK(SuspicionOf(tracker, kCulprit, kStart) == Suspicion::kNone);
+  Crash(tracker, 1, {kCulprit}, kStart);
+  Crash(tracker, 2, {kCulprit}, kStart);
+  CHECK(SuspicionOf(tracker, kCulprit, kStart) == Suspicion::kSuspected);
+  Crash(tracker, 3, {kCulprit}, kStart);
+  const RequestJudgement third = tracker.Judge(kCulprit, kStart);
   CHECK(third.suspicion == Suspicion::kQuarantined);
   CHECK(third.retry_after >= seconds(60));
   CHECK(third.retry_after <= seconds(90));
-  Crash(ledger, 4, {kCulprit}, kStart);
-  CHECK(ledger.Judge(kCulprit, kStart).retry_after == 2 * third.retry_after);
+  Crash(tracker, 4, {kCulprit}, kStart);
+  CHECK(tracker.Judge(kCulprit, kStart).retry_after == 2 * third.retry_after);
 }
 
 // Guards against the quarantine of a request that a caller repeats while
 // endpoints are overloaded: endpoints reset connections when they are full, and
 // answers get lost.
 TEST_CASE("broken calls whose endpoints are alive do not quarantine") {
-  CrashTracker ledger({}, kSeed);
+  CrashTracker tracker({}, kSeed);
   for (int n = 0; n < 100; ++n) {
-    CHECK(ledger.Suspect({kBystander, Endpoint(n), kStart}) ==
+    CHECK(tracker.Suspect({kBystander, Endpoint(n), kStart}) ==
           SuspectStep::kCheck);
-    CHECK(SuspicionOf(ledger, kBystander, kStart) == Suspicion::kSuspected);
-    ledger.Dismiss(Endpoint(n));
+    CHECK(SuspicionOf(tracker, kBystander, kStart) == Suspicion::kSuspected);
+    tracker.Dismiss(Endpoint(n));
   }
-  CHECK(SuspicionOf(ledger, kBystander, kStart) == Suspicion::kNone);
-  CHECK(ledger.empty());
+  CHECK(SuspicionOf(tracker, kBystander, kStart) == Suspicion::kNone);
+  CHECK(tracker.empty());
 }
 
 // Guards against the quarantine of a request that is repeated and is each time
 // at an endpoint that another request crashes.
 TEST_CASE("a crash that is explained by another request does not count") {
-  CrashTracker ledger({}, kSeed);
+  CrashTracker tracker({}, kSeed);
   for (int n = 0; n < 3; ++n) {
-    Crash(ledger, n, {kCulprit, kBystander}, kStart + seconds(n));
+    Crash(tracker, n, {kCulprit, kBystander}, kStart + seconds(n));
   }
-  Crash(ledger, 3, {kCulprit}, kStart + seconds(3));
+  Crash(tracker, 3, {kCulprit}, kStart + seconds(3));
   const TimePoint now = kStart + seconds(4);
-  CHECK(SuspicionOf(ledger, kCulprit, now) == Suspicion::kQuarantined);
-  CHECK(SuspicionOf(ledger, kBystander, now) == Suspicion::kSuspected);
+  CHECK(SuspicionOf(tracker, kCulprit, now) == Suspicion::kQuarantined);
+  CHECK(SuspicionOf(tracker, kBystander, now) == Suspicion::kSuspected);
   // Crashes without the other request count.
   for (int n = 4; n < 7; ++n) {
-    Crash(ledger, n, {kBystander}, now);
+    Crash(tracker, n, {kBystander}, now);
   }
-  CHECK(SuspicionOf(ledger, kBystander, now) == Suspicion::kQuarantined);
+  CHECK(SuspicionOf(tracker, kBystander, now) == Suspicion::kQuarantined);
 }
 
 TEST_CASE(
     "an answer clears a request of earlier crashes that are reported later") {
-  CrashTracker ledger({}, kSeed);
-  Crash(ledger, 1, {kBystander}, kStart);
-  Crash(ledger, 2, {kBystander}, kStart);
-  CHECK(ledger.Clear({kBystander, kStart + seconds(1)}, kStart + seconds(1)) ==
+  CrashTracker tracker({}, kSeed);
+  Crash(tracker, 1, {kBystander}, kStart);
+  Crash(tracker, 2, {kBystander}, kStart);
+  CHECK(tracker.Clear({kBystander, kStart + seconds(1)}, kStart + seconds(1)) ==
         2);
-  CHECK(SuspicionOf(ledger, kBystander, kStart + seconds(1)) ==
+  CHECK(SuspicionOf(tracker, kBystander, kStart + seconds(1)) ==
         Suspicion::kNone);
-  CHECK(!ledger.Add({kBystander, Endpoint(3), kStart}, kStart + seconds(1)));
-  CHECK(ledger.Add({kBystander, Endpoint(3), kStart + seconds(2)},
-                   kStart + seconds(2)));
+  CHECK(!tracker.Add({kBystander, Endpoint(3), kStart}, kStart + seconds(1)));
+  CHECK(tracker.Add({kBystander, Endpoint(3), kStart + seconds(2)},
+                    kStart + seconds(2)));
 }
 
 TEST_CASE("a quarantine ends with a trial of one call at a time") {
-  CrashTracker ledger({}, kSeed);
+  CrashTracker tracker({}, kSeed);
   for (int n = 0; n < 3; ++n) {
-    Crash(ledger, n, {kCulprit}, kStart);
+    Crash(tracker, n, {kCulprit}, kStart);
   }
-  const TimePoint end = kStart + ledger.Judge(kCulprit, kStart).retry_after;
-  const RequestJudgement trial = ledger.Judge(kCulprit, end);
+  const TimePoint end = kStart + tracker.Judge(kCulprit, kStart).retry_after;
+  const RequestJudgement trial = tracker.Judge(kCulprit, end);
   CHECK(trial.suspicion == Suspicion::kSuspected);
   CHECK(trial.is_trial);
-  CHECK(SuspicionOf(ledger, kCulprit, end) == Suspicion::kQuarantined);
+  CHECK(SuspicionOf(tracker, kCulprit, end) == Suspicion::kQuarantined);
   SUBCASE("a crash renews it") {
-    Crash(ledger, 3, {kCulprit}, end);
-    CHECK(ledger.Judge(kCulprit, end + seconds(30)).retry_after > seconds(60));
+    Crash(tracker, 3, {kCulprit}, end);
+    CHECK(tracker.Judge(kCulprit, end + seconds(30)).retry_after > seconds(60));
   }
   SUBCASE("an answer ends it") {
-    ledger.Clear({kCulprit, end}, end);
-    CHECK(SuspicionOf(ledger, kCulprit, end) == Suspicion::kNone);
+    tracker.Clear({kCulprit, end}, end);
+    CHECK(SuspicionOf(tracker, kCulprit, end) == Suspicion::kNone);
   }
 }
 
 TEST_CASE("a crash that several calls and hosts observe counts once") {
-  CrashTracker ledger({}, kSeed);
-  Crash(ledger, 1, {kCulprit}, kStart);
-  CHECK(!ledger.Add({kCulprit, Endpoint(1), kStart + milliseconds(300)},
-                    kStart + milliseconds(300)));
-  CHECK(ledger.CountCrashes(kCulprit) == 1);
+  CrashTracker tracker({}, kSeed);
+  Crash(tracker, 1, {kCulprit}, kStart);
+  CHECK(!tracker.Add({kCulprit, Endpoint(1), kStart + milliseconds(300)},
+                     kStart + milliseconds(300)));
+  CHECK(tracker.CountCrashes(kCulprit) == 1);
   // A late observation by a bystander is new and needs no check.
-  CHECK(ledger.Suspect({kBystander, Endpoint(1), kStart + milliseconds(400)}) ==
-        SuspectStep::kShare);
-  CHECK(ledger.CountCrashes(kBystander) == 1);
+  CHECK(tracker.Suspect({kBystander, Endpoint(1),
+                         kStart + milliseconds(400)}) == SuspectStep::kShare);
+  CHECK(tracker.CountCrashes(kBystander) == 1);
   // The same endpoint has restarted under its id and crashes again.
-  CHECK(ledger.Add({kCulprit, Endpoint(1), kStart + seconds(3)},
-                   kStart + seconds(3)));
-  CHECK(ledger.CountCrashes(kCulprit) == 2);
+  CHECK(tracker.Add({kCulprit, Endpoint(1), kStart + seconds(3)},
+                    kStart + seconds(3)));
+  CHECK(tracker.CountCrashes(kCulprit) == 2);
 }
 
 TEST_CASE("crashes are forgotten") {
-  CrashTracker ledger({}, kSeed);
+  CrashTracker tracker({}, kSeed);
   for (int n = 0; n < 3; ++n) {
-    Crash(ledger, n, {kCulprit}, kStart);
+    Crash(tracker, n, {kCulprit}, kStart);
   }
-  CHECK(SuspicionOf(ledger, kCulprit, kStart + std::chrono::hours(2)) ==
+  CHECK(SuspicionOf(tracker, kCulprit, kStart + std::chrono::hours(2)) ==
         Suspicion::kNone);
-  CHECK(ledger.empty());
+  CHECK(tracker.empty());
 }
 
 // In any order of events: memory stays within the options, a request without
@@ -157,7 +157,7 @@
     options.max_crashes = 24;
     options.max_unconfirmed = 6;
     options.max_suspects = 4;
-    CrashTracker ledger(options, kSeed);
+    CrashTracker tracker(options, kSeed);
     TimePoint now = kStart;
     const int steps = *rc::gen::inRange(1, 120);
     for (int n = 0; n < steps; ++n) {
@@ -166,24 +166,24 @@
       const RequestFingerprint request{*rc::gen::inRange<std::uint64_t>(1, 6)};
       switch (*rc::gen::inRange(0, 6)) {
         case 0:
-          ledger.Confirm(endpoint);
+          tracker.Confirm(endpoint);
           break;
         case 1:
-          ledger.Dismiss(endpoint);
+          tracker.Dismiss(endpoint);
           break;
         case 2:
-          ledger.Clear({request, now}, now);
-          RC_ASSERT(ledger.CountCrashes(request) == 0U);
+          tracker.Clear({request, now}, now);
+          RC_ASSERT(tracker.CountCrashes(request) == 0U);
           break;
         case 3:
-          ledger.Add({request, endpoint, now}, now);
+          tracker.Add({request, endpoint, now}, now);
           break;
         default:
-          ledger.Suspect({request, endpoint, now});
+          tracker.Suspect({request, endpoint, now});
       }
-      RC_ASSERT(ledger.crashes() <= options.max_crashes);
-      const Suspicion judged = ledger.Judge(request, now).suspicion;
-      const std::size_t crashes = ledger.CountCrashes(request);
+      RC_ASSERT(tracker.crashes() <= options.max_crashes);
+      const Suspicion judged = tracker.Judge(request, now).suspicion;
+      const std::size_t crashes = tracker.CountCrashes(request);
       if (judged == Suspicion::kQuarantined) {
         RC_ASSERT(crashes >= options.crashes_to_quarantine);
       }
@@ -193,9 +193,9 @@
     }
     constexpr RequestFingerprint kAlone{99};
     for (int n = 20; n < 23; ++n) {
-      ledger.Add({kAlone, Endpoint(n), now}, now);
+      tracker.Add({kAlone, Endpoint(n), now}, now);
     }
-    RC_ASSERT(ledger.Judge(kAlone, now).suspicion == Suspicion::kQuarantined);
+    RC_ASSERT(tracker.Judge(kAlone, now).suspicion == Suspicion::kQuarantined);
   });
 }
 
--- a/tests/policy/test_measured_balancer.cc
+++ b/tests/policy/test_measured_balancer.cc
@@ -182,21 +182,21 @@
     "free") {
   constexpr EndpointIndex kFar = 1;
   Harness harness(2);
-  int to_limited = 0;
+  int calls_to_limited = 0;
   for (CallToken token = 1; token <= 400; ++token) {
     harness.balancer.OnSignals(kFar, {.rate_limit = 1}, harness.now,
                                harness.now);
     const CallOffer call = MakeCall(token, harness.now);
     Decisions out = harness.Offer(call);
     REQUIRE(out.dispatches.size() == 1);
-    to_limited += out.dispatches[0].endpoint == kFar ? 1 : 0;
+    calls_to_limited += out.dispatches[0].endpoint == kFar ? 1 : 0;
     harness.End(call, out.dispatches[0].endpoint, SendResult::kAnswered, out);
     harness.now += milliseconds(50);
   }
   // Half of the limit is divided among the hosts: ten calls in twenty seconds
   // on average.
-  CHECK(to_limited >= 4);
-  CHECK(to_limited <= 20);
+  CHECK(calls_to_limited >= 4);
+  CHECK(calls_to_limited <= 20);
 }
 
 TEST_CASE("calls go to endpoints without a limit") {
@@ -279,16 +279,16 @@
       harness.reports[0].cold_for = std::chrono::seconds(3);
     }
     harness.balancer.SetService(service, 4, harness.now);
-    int to_cold = 0;
+    int calls_to_cold = 0;
     for (CallToken token = 1; token <= 100; ++token) {
       harness.now += milliseconds(20);
       const CallOffer call = MakeCall(token, harness.now);
       Decisions out = harness.Offer(call);
       REQUIRE(out.dispatches.size() == 1);
-      to_cold += out.dispatches[0].endpoint == 0 ? 1 : 0;
+      calls_to_cold += out.dispatches[0].endpoint == 0 ? 1 : 0;
       harness.End(call, out.dispatches[0].endpoint, SendResult::kAnswered, out);
     }
-    CHECK(to_cold <= 3);
+    CHECK(calls_to_cold <= 3);
     harness.reports[0].cold_for = Duration::zero();
     harness.now += std::chrono::seconds(3);
     const Decisions out = harness.Offer(MakeCall(101, harness.now));
@@ -333,17 +333,17 @@
   harness.now += milliseconds(200);
   Decisions out;
   harness.balancer.Report(0, late, harness.now, out);
-  int to_cold = 0;
+  int calls_to_cold = 0;
   for (CallToken token = 1; token <= 8; ++token) {
     harness.now += milliseconds(4);
     const CallOffer call = MakeCall(token, harness.now);
     Decisions placed = harness.Offer(call);
     REQUIRE(placed.dispatches.size() == 1);
-    to_cold += placed.dispatches[0].endpoint == 0 ? 1 : 0;
+    calls_to_cold += placed.dispatches[0].endpoint == 0 ? 1 : 0;
     harness.End(call, placed.dispatches[0].endpoint, SendResult::kAnswered,
                 placed);
   }
-  CHECK(to_cold <= 1);
+  CHECK(calls_to_cold <= 1);
 }
 
 // Guards against calls that wait although all endpoints of a service are cold
@@ -590,7 +590,7 @@
 
 TEST_CASE("calls move from an endpoint that keeps failing to the others") {
   Harness harness(4);
-  int at_failing = 0;
+  int calls_to_failing = 0;
   for (CallToken token = 1; token < 200; ++token) {
     harness.now += milliseconds(20);
     const CallOffer call = MakeCall(token, harness.now);
@@ -598,13 +598,13 @@
     REQUIRE(out.dispatches.size() == 1);
     const EndpointIndex endpoint = out.dispatches[0].endpoint;
     const bool fails = endpoint == 0;
-    at_failing += fails ? 1 : 0;
+    calls_to_failing += fails ? 1 : 0;
     Decisions after;
     harness.End(call, endpoint,
                 fails ? SendResult::kBroken : SendResult::kAnswered, after);
     harness.balancer.Withdraw(token, harness.now);
   }
-  CHECK(at_failing < 20);
+  CHECK(calls_to_failing < 20);
 }
 
 TEST_CASE("calls are refused after a short wait if there is no endpoint") {
@@ -753,7 +753,7 @@
   }
   harness.balancer.SetService(service, 1, harness.now);
   const auto count_at_joined = [&](CallToken first) {
-    int at_joined = 0;
+    int calls_to_joined = 0;
     for (CallToken token = first; token < first + 100; ++token) {
       harness.now += milliseconds(20);
       const CallOffer offer = MakeCall(token, harness.now);
@@ -761,10 +761,10 @@
       REQUIRE(out.dispatches.size() == 1);
       const EndpointIndex endpoint = out.dispatches[0].endpoint;
       const EndpointId& id = harness.balancer.endpoint(endpoint).id;
-      at_joined += id.text().starts_with("joined") ? 1 : 0;
+      calls_to_joined += id.text().starts_with("joined") ? 1 : 0;
       harness.End(offer, endpoint, SendResult::kAnswered, out);
     }
-    return at_joined;
+    return calls_to_joined;
   };
   CHECK(count_at_joined(1) == 0);
   harness.now += std::chrono::seconds(2);
--- a/tests/policy/test_service_balancer.cc
+++ b/tests/policy/test_service_balancer.cc
@@ -205,7 +205,7 @@
   constexpr EndpointIndex kLimited = 3;
   ServiceBalancer balancer(BalancerOptions(), 3);
   balancer.SetService(Service(4, 8), 1, kStart);
-  int to_limited = 0;
+  int calls_to_limited = 0;
   TimePoint now = kStart;
   for (CallToken token = 1; token <= 400; ++token) {
     balancer.OnSignals(kLimited, {.rate_limit = 1}, now, now);
@@ -213,15 +213,15 @@
     Decisions out;
     balancer.Offer(call, now, out);
     REQUIRE(out.dispatches.size() == 1);
-    to_limited += out.dispatches[0].endpoint == kLimited ? 1 : 0;
+    calls_to_limited += out.dispatches[0].endpoint == kLimited ? 1 : 0;
     balancer.Finish(call, EndOf(out.dispatches[0], SendResult::kAnswered), now,
                     out);
     now += milliseconds(50);
   }
   // Half of the limit is divided among the hosts: ten calls in twenty seconds
   // on average.
-  CHECK(to_limited >= 4);
-  CHECK(to_limited <= 20);
+  CHECK(calls_to_limited >= 4);
+  CHECK(calls_to_limited <= 20);
 }
 
 TEST_CASE("calls go to an endpoint without a limit") {
--- a/tests/policy/test_stale_report_detector.cc
+++ b/tests/policy/test_stale_report_detector.cc
@@ -25,7 +25,7 @@
   }
   void ReportAll(Duration apart = milliseconds(40)) {
     for (EndpointIndex n = 0; n < kEndpoints; ++n) {
-      trust.OnReport({n, calls[n], before[n], apart}, kExecution);
+      detector.OnReport({n, calls[n], before[n], apart}, kExecution);
     }
     before = calls;
   }
@@ -40,7 +40,7 @@
     }
   }
 
-  StaleReportDetector trust;
+  StaleReportDetector detector;
   Random random{5};
   std::array<std::int32_t, kEndpoints> calls{};
   std::array<std::int32_t, kEndpoints> before{};
@@ -54,7 +54,7 @@
   Reporters reporters;
   for (int n = 0; n < 200; ++n) {
     reporters.Rounds(10, 1);
-    CHECK(reporters.trust.IsTrusted());
+    CHECK(reporters.detector.IsTrusted());
   }
 }
 
@@ -64,15 +64,15 @@
 TEST_CASE("reports that repeat an old measurement are not trusted") {
   Reporters reporters;
   reporters.Rounds(200, 12);
-  CHECK_FALSE(reporters.trust.IsTrusted());
-  CHECK(reporters.trust.RepeatedFraction() > 0.5);
+  CHECK_FALSE(reporters.detector.IsTrusted());
+  CHECK(reporters.detector.RepeatedFraction() > 0.5);
 }
 
 TEST_CASE("reports are trusted again when they are fresh again") {
   Reporters reporters;
   reporters.Rounds(200, 12);
   reporters.Rounds(200, 1);
-  CHECK(reporters.trust.IsTrusted());
+  CHECK(reporters.detector.IsTrusted());
 }
 
 TEST_CASE("reports of zero by all idle endpoints are trusted") {
@@ -80,7 +80,7 @@
   for (int n = 0; n < 300; ++n) {
     reporters.ReportAll();
   }
-  CHECK(reporters.trust.IsTrusted());
+  CHECK(reporters.detector.IsTrusted());
 }
 
 TEST_CASE("an equal report within one execution time is ignored") {
@@ -89,7 +89,7 @@
   for (int n = 0; n < 300; ++n) {
     reporters.ReportAll(milliseconds(2));
   }
-  CHECK(reporters.trust.RepeatedFraction() == 0);
+  CHECK(reporters.detector.RepeatedFraction() == 0);
 }
 
 }  // namespace
