--- a/policy/endpoint_measure.h
+++ b/policy/endpoint_measure.h
@@ -11,6 +11,7 @@
 // Averages over the endpoints of a service, used for an endpoint whose own
 // report is old.
 struct MeasurePrior {
+  // Execution time relative to the usual one.
   double pace = 1;
   // Calls in flight and queued, per slot.
   double load = 0.5;
--- a/policy/measured_balancer.cc
+++ b/policy/measured_balancer.cc
@@ -76,21 +76,21 @@
     if (!endpoints_.HasEndpointInRegionsOf(call)) {
       return {Step::kRefuse, best};
     }
-    const bool looks = probes_.HasPendingProbes(now) ||
-                       probes_.RequestProbes(call, now, random_);
+    const bool awaits_probes = probes_.HasPendingProbes(now) ||
+                               probes_.RequestProbes(call, now, random_);
     const TimePoint since =
         std::min(unavailable_since_.value_or(now), call.offer.arrival);
     const bool has_timed_out =
-        !looks && (IsUnavailableTooLong(call, now) ||
-                   now - since >= options_.no_endpoint_timeout);
+        !awaits_probes && (IsUnavailableTooLong(call, now) ||
+                           now - since >= options_.no_endpoint_timeout);
     return {has_timed_out ? Step::kRefuse : Step::kWait, best};
   }
   if (best->is_good) {
     return {Step::kSend, best};
   }
-  if (const std::optional<MeasuredCandidate> settled =
+  if (const std::optional<MeasuredCandidate> best_fresh =
           BestFreshOnTime(call, now)) {
-    return {Step::kSend, settled};
+    return {Step::kSend, best_fresh};
   }
   if (probes_.HasPendingProbes(now) ||
       probes_.RequestProbes(call, now, random_)) {
@@ -106,8 +106,8 @@
 bool MeasuredBalancer::IsUnavailableTooLong(const WaitingCall& call,
                                             TimePoint now) const {
   const TimePoint timeout_at = now + options_.no_endpoint_timeout;
-  const auto opens_at = endpoints_.AvailableAt(call, now, timeout_at);
-  return opens_at && *opens_at >= timeout_at;
+  const auto available_at = endpoints_.AvailableAt(call, now, timeout_at);
+  return available_at && *available_at >= timeout_at;
 }
 
 void MeasuredBalancer::Offer(const CallOffer& offer,
@@ -163,9 +163,9 @@
   Duration wait = kMinRetryAfter;
   if (best) {
     wait = std::max(wait, now + best->finish - call.offer.on_time_until);
-  } else if (const auto opens_at =
+  } else if (const auto available_at =
                  endpoints_.AvailableAt(call, now, now + kMaxRetryAfter)) {
-    wait = std::max(wait, *opens_at - now);
+    wait = std::max(wait, *available_at - now);
   }
   return std::min(wait, kMaxRetryAfter);
 }
--- a/policy/measured_endpoints.cc
+++ b/policy/measured_endpoints.cc
@@ -145,10 +145,10 @@
 
 bool MeasuredEndpoints::CanAcceptCall(const MeasuredCandidate& candidate,
                                       TimePoint now) const {
-  const ColdObservation look{candidate.index, candidate.is_fresh,
-                             candidate.calls, candidate.slots};
+  const ColdObservation observation{candidate.index, candidate.is_fresh,
+                                    candidate.calls, candidate.slots};
   return limits_.CanAcceptCall(candidate.index, now) &&
-         cold_.CanAcceptCall(look, now);
+         cold_.CanAcceptCall(observation, now);
 }
 
 std::optional<ColdBasis> MeasuredEndpoints::ColdBasisOf(
--- a/policy/measured_endpoints.h
+++ b/policy/measured_endpoints.h
@@ -30,6 +30,7 @@
   Duration cost{};
   double calls = 0;
   double slots = 1;
+  // Execution time relative to the usual one.
   double pace = 1;
   bool is_fresh = false;
   // Whether a fresh report shows a free slot and a usual execution time, so
--- a/policy/measured_options.h
+++ b/policy/measured_options.h
@@ -55,9 +55,9 @@
   Duration probe_budget_window = std::chrono::seconds(5);
   double probe_burst = 15;
   // Execution time, relative to the usual one, up to which an endpoint is good
-  // enough: searching for a better one costs probes and connections to other
-  // zones. It includes the last slot of a server that slows down by 1.7 when it
-  // is full.
+  // enough: searching for a better one costs probes and traffic between zones.
+  // It includes the last slot of a server that slows down by 1.7 when it is
+  // full.
   double good_pace = 2;
   // A call is sent to an endpoint if it would be on time even with its expected
   // duration multiplied by this factor. Execution times vary by about a third,
--- a/policy/service_balancer.cc
+++ b/policy/service_balancer.cc
@@ -50,13 +50,13 @@
     out.rejections.push_back({token, Refusal::kNoEndpoint});
     return;
   }
-  if (now + LeastServiceTime(urgency) >= call.offer.deadline) {
+  if (now + MinServiceTime(urgency) >= call.offer.deadline) {
     service_times_[Index(urgency)].OnRefusal();
     out.rejections.push_back({token, Refusal::kDeadline});
     return;
   }
   if (HasPrecedence(urgency)) {
-    if (const auto endpoint = PickFor(call, false, now)) {
+    if (const auto endpoint = ChooseEndpoint(call, false, now)) {
       queue_.OnDirectDispatch(urgency);
       Send(call, *endpoint, now, out);
       return;
@@ -140,7 +140,7 @@
           ? std::min(offer.attempt_limit, options_.attempt_limit)
           : options_.attempt_limit;
   if (end.sends >= attempt_limit ||
-      now + LeastServiceTime(offer.urgency) >= offer.deadline) {
+      now + MinServiceTime(offer.urgency) >= offer.deadline) {
     return false;
   }
   // If the services in between do not pass the outcome on, each hop spends its
@@ -191,7 +191,7 @@
   }
   ServiceTimes least;
   for (std::size_t n = 0; n < kUrgencyCount; ++n) {
-    least[n] = LeastServiceTime(static_cast<Urgency>(n));
+    least[n] = MinServiceTime(static_cast<Urgency>(n));
   }
   const std::size_t before = out.rejections.size();
   queue_.Expire(now, least, out.rejections);
@@ -209,9 +209,9 @@
     if (queue_.Waiting(urgency) == 0) {
       continue;
     }
-    const Duration pause = reservation_.MaxDispatchInterval(
+    const Duration max_interval = reservation_.MaxDispatchInterval(
         urgency, table_.UsableSlots(now), service_times_[n].Mean(), hosts_);
-    if (now - last_served_[n] >= pause) {
+    if (now - last_served_[n] >= max_interval) {
       queue_.GrantCredit(urgency);
     }
   }
@@ -220,7 +220,8 @@
 bool ServiceBalancer::SendNext(TimePoint now, Decisions& out) {
   for (const Urgency urgency : queue_.Order()) {
     const bool has_credit = queue_.HasCredit(urgency);
-    const auto endpoint = PickFor(*queue_.Head(urgency), has_credit, now);
+    const auto endpoint =
+        ChooseEndpoint(*queue_.Head(urgency), has_credit, now);
     if (endpoint) {
       Send(queue_.Take(urgency), *endpoint, now, out);
       return true;
@@ -248,9 +249,10 @@
   return true;
 }
 
-std::optional<EndpointIndex> ServiceBalancer::PickFor(const WaitingCall& call,
-                                                      bool has_credit,
-                                                      TimePoint now) {
+std::optional<EndpointIndex> ServiceBalancer::ChooseEndpoint(
+    const WaitingCall& call,
+    bool has_credit,
+    TimePoint now) {
   const Urgency urgency = call.offer.urgency;
   if (!has_credit && urgency != Urgency::kUrgent) {
     const SlotView slots{table_.FreeSlots(now), table_.UsableSlots(now)};
@@ -278,7 +280,7 @@
   out.dispatches.push_back({call.offer.token, endpoint});
 }
 
-Duration ServiceBalancer::LeastServiceTime(Urgency urgency) const {
+Duration ServiceBalancer::MinServiceTime(Urgency urgency) const {
   return std::min(table_.TypicalServiceTime(),
                   service_times_[Index(urgency)].Least());
 }
@@ -295,8 +297,8 @@
 // longer than calls wait for one.
 bool ServiceBalancer::HasEndpointTimeoutPassed(TimePoint now) const {
   const TimePoint timeout_at = now + options_.no_endpoint_timeout;
-  const auto opens_at = table_.AvailableAt(now, timeout_at);
-  const bool is_unavailable = opens_at && *opens_at >= timeout_at;
+  const auto available_at = table_.AvailableAt(now, timeout_at);
+  const bool is_unavailable = available_at && *available_at >= timeout_at;
   return is_unavailable ||
          (unusable_since_ &&
           now - *unusable_since_ >= options_.no_endpoint_timeout);
--- a/policy/service_balancer.h
+++ b/policy/service_balancer.h
@@ -100,9 +100,9 @@
   void GrantFloorCredits(TimePoint now);
   bool SendNext(TimePoint now, Decisions& out);
   bool SendDespiteLoad(TimePoint now, Decisions& out);
-  std::optional<EndpointIndex> PickFor(const WaitingCall& call,
-                                       bool has_credit,
-                                       TimePoint now);
+  std::optional<EndpointIndex> ChooseEndpoint(const WaitingCall& call,
+                                              bool has_credit,
+                                              TimePoint now);
   void Send(const WaitingCall& call,
             EndpointIndex endpoint,
             TimePoint now,
@@ -112,7 +112,7 @@
   void Learn(const CallOffer& offer, const SendEnd& end);
   // Network round-trip time to the endpoint.
   Duration RoundTripTo(EndpointIndex endpoint) const;
-  Duration LeastServiceTime(Urgency urgency) const;
+  Duration MinServiceTime(Urgency urgency) const;
   bool HasEndpointTimeoutPassed(TimePoint now) const;
   void UpdateUnusableSince(TimePoint now);
 
--- a/tests/policy/naive_admission_queue.h
+++ b/tests/policy/naive_admission_queue.h
@@ -60,7 +60,7 @@
     const CallOffer* best = nullptr;
     for (const WaitingCall& it : calls_) {
       if (it.offer.urgency == urgency &&
-          (best == nullptr || GoesBefore(it.offer, *best))) {
+          (best == nullptr || Precedes(it.offer, *best))) {
         best = &it.offer;
       }
     }
@@ -147,7 +147,7 @@
       return it.urgency == urgency && it.customer == customer;
     });
   }
-  bool GoesBefore(const CallOffer& a, const CallOffer& b) {
+  bool Precedes(const CallOffer& a, const CallOffer& b) {
     const Flow& of_a = ClassOf(a.urgency).flows[a.customer];
     const Flow& of_b = ClassOf(b.urgency).flows[b.customer];
     return std::tie(of_a.tag, of_a.order, a.arrival, a.token) <
--- a/tests/policy/test_admission_queue.cc
+++ b/tests/policy/test_admission_queue.cc
@@ -55,11 +55,11 @@
     NaiveAdmissionQueue naive(options);
     std::set<CallToken> inside;
     std::vector<Rejection> refused;
-    std::vector<Rejection> naively_refused;
+    std::vector<Rejection> refused_by_naive;
     const int steps = *rc::gen::inRange(1, 300);
     for (int n = 0; n < steps; ++n) {
       refused.clear();
-      naively_refused.clear();
+      refused_by_naive.clear();
       const auto token = static_cast<CallToken>(n);
       const Urgency urgency = RandomUrgency();
       switch (*rc::gen::weightedElement<Step>({{8, Step::kAdd},
@@ -71,7 +71,7 @@
           const WaitingCall call = RandomCall(token);
           inside.insert(token);
           queue.Add(call, refused);
-          naive.Add(call, naively_refused);
+          naive.Add(call, refused_by_naive);
           break;
         }
         case Step::kRemove: {
@@ -94,7 +94,7 @@
           const ServiceTimes least = {milliseconds(0), milliseconds(2),
                                       milliseconds(9)};
           queue.Expire(now, least, refused);
-          naive.Expire(now, least, naively_refused);
+          naive.Expire(now, least, refused_by_naive);
           break;
         }
         case Step::kLearn: {
@@ -105,7 +105,7 @@
           break;
         }
       }
-      RC_ASSERT(refused == naively_refused);
+      RC_ASSERT(refused == refused_by_naive);
       for (const Rejection& it : refused) {
         RC_ASSERT(inside.erase(it.token) == 1U);
       }
--- a/tests/policy/test_endpoint_limits.cc
+++ b/tests/policy/test_endpoint_limits.cc
@@ -205,9 +205,10 @@
   host.OnAnswer(kEndpoint, {.rate_limit = 0, .rest = seconds(3)}, kStart,
                 kStart);
   const TimePoint latest = kStart + seconds(60);
-  const TimePoint opens_at = host.AvailableAt(kEndpoint, kStart, latest);
-  CHECK(opens_at >= kStart + seconds(3));
-  CHECK((opens_at == latest || host.CanAcceptCall(kEndpoint, opens_at)));
+  const TimePoint available_at = host.AvailableAt(kEndpoint, kStart, latest);
+  CHECK(available_at >= kStart + seconds(3));
+  CHECK(
+      (available_at == latest || host.CanAcceptCall(kEndpoint, available_at)));
 }
 
 TEST_CASE("a new process at the index has no limit and no pause") {
--- a/tests/policy/test_endpoint_roster.cc
+++ b/tests/policy/test_endpoint_roster.cc
@@ -37,12 +37,12 @@
   }
 }
 
-std::size_t CountNaively(const EndpointRoster& roster, EndpointState state) {
+std::size_t CountByScan(const EndpointRoster& roster, EndpointState state) {
   return static_cast<std::size_t>(
       std::ranges::count(roster.records(), state, &EndpointRecord::state));
 }
 
-std::vector<EndpointIndex> UsableNaively(const EndpointRoster& roster) {
+std::vector<EndpointIndex> UsableByScan(const EndpointRoster& roster) {
   std::vector<EndpointIndex> usable;
   for (EndpointIndex n = 0; n < roster.records().size(); ++n) {
     if (TakesCalls(roster.records()[n].state)) {
@@ -54,7 +54,7 @@
 
 // Returns the lowest index that a new endpoint may take; the end if there is
 // none.
-EndpointIndex FreePlaceNaively(const EndpointRoster& roster) {
+EndpointIndex FreeIndexByScan(const EndpointRoster& roster) {
   const auto records = roster.records();
   const auto free = std::ranges::find_if(records, [](const EndpointRecord& it) {
     return it.state == EndpointState::kGone &&
@@ -76,7 +76,7 @@
       const auto index = static_cast<EndpointIndex>(
           size == 0 ? 0 : *rc::gen::inRange(0, size));
       if (kind <= 1) {
-        const EndpointIndex free = FreePlaceNaively(roster);
+        const EndpointIndex free = FreeIndexByScan(roster);
         RC_ASSERT(roster.Add(kind == 0, now) == free);
       } else if (kind == 2) {
         roster.OnUnlisted(index, now);
@@ -94,11 +94,11 @@
       roster.Advance(now);
       const std::vector<EndpointIndex> usable(roster.usable().begin(),
                                               roster.usable().end());
-      RC_ASSERT(usable == UsableNaively(roster));
+      RC_ASSERT(usable == UsableByScan(roster));
       const std::size_t live = roster.records().size() -
-                               CountNaively(roster, EndpointState::kDraining) -
-                               CountNaively(roster, EndpointState::kGone);
-      RC_ASSERT(CountNaively(roster, EndpointState::kEjected) <=
+                               CountByScan(roster, EndpointState::kDraining) -
+                               CountByScan(roster, EndpointState::kGone);
+      RC_ASSERT(CountByScan(roster, EndpointState::kEjected) <=
                 MaxEjected(live));
     }
   }));
