--- a/policy/execution_profile.h
+++ b/policy/execution_profile.h
@@ -12,7 +12,7 @@
 // endpoint is when they begin.
 //
 // Made for servers that keep a constant speed until they are nearly full, and
-// then slow down permanently with each further call. A balancer that
+// then slow down considerably, more so with each further call. A balancer that
 // underestimates the slowdown fills the near endpoints while others, a
 // millisecond away, have a single call.
 class ExecutionProfile {
--- a/policy/fair_queue.cc
+++ b/policy/fair_queue.cc
@@ -71,7 +71,7 @@
   flow.calls.erase(QueuedCall{arrival, token});
   Link(flow);
   --size_;
-  ForgetIdle();
+  RemoveIdle();
 }
 
 CallToken FairQueue::Head() const {
@@ -87,11 +87,11 @@
   flow.tag += CostOf(flow.customer) / flow.share;
   Link(flow);
   --size_;
-  ForgetIdle();
+  RemoveIdle();
   return token;
 }
 
-void FairQueue::ForgetIdle() {
+void FairQueue::RemoveIdle() {
   if (size_ == 0) {
     // No customer is competing, so the virtual time that customers have used in
     // advance is discarded.
--- a/policy/fair_queue.h
+++ b/policy/fair_queue.h
@@ -83,7 +83,7 @@
   // Remove the flow from the ordered sets, or insert it again.
   void Unlink(Flow& flow);
   void Link(Flow& flow);
-  void ForgetIdle();
+  void RemoveIdle();
   double CostOf(const CustomerId& customer) const;
 
   std::unordered_map<CustomerId, Flow> flows_;
--- a/policy/repeat_window.cc
+++ b/policy/repeat_window.cc
@@ -14,17 +14,17 @@
 bool RepeatWindow::TrySpend(TimePoint now) {
   const std::int64_t number = NumberOf(now);
   std::int64_t first_sends = 0;
-  std::int64_t repeats = 0;
+  std::int64_t retries = 0;
   for (const Slice& it : slices_) {
     first_sends += number - it.number < kSlices ? it.first_sends : 0;
-    repeats += number - it.number <= kSlices ? it.repeats : 0;
+    retries += number - it.number <= kSlices ? it.retries : 0;
   }
   const double allowed =
-      part_ * static_cast<double>(first_sends) + share_ + rounding_;
-  if (static_cast<double>(repeats + 1) > allowed) {
+      fraction_ * static_cast<double>(first_sends) + share_ + rounding_;
+  if (static_cast<double>(retries + 1) > allowed) {
     return false;
   }
-  ++SliceAt(now).repeats;
+  ++SliceAt(now).retries;
   return true;
 }
 
--- a/policy/repeat_window.h
+++ b/policy/repeat_window.h
@@ -21,10 +21,10 @@
  public:
   static constexpr Duration kWindow = std::chrono::seconds(10);
 
-  // `part` is the allowed fraction of first sends; `rounding` is from 0 to 1,
-  // drawn at random by each host.
-  RepeatWindow(double part, double rounding)
-      : part_(part), rounding_(rounding) {}
+  // `fraction` is the allowed fraction of first sends; `rounding` is from 0 to
+  // 1, drawn at random by each host.
+  RepeatWindow(double fraction, double rounding)
+      : fraction_(fraction), rounding_(rounding) {}
 
   // Sets this host's share of the slack, in retries.
   void SetShare(double share) { share_ = share; }
@@ -42,7 +42,7 @@
   struct Slice {
     std::int64_t number = -1;
     std::int64_t first_sends = 0;
-    std::int64_t repeats = 0;
+    std::int64_t retries = 0;
   };
 
   static std::int64_t NumberOf(TimePoint now) {
@@ -50,7 +50,7 @@
   }
   Slice& SliceAt(TimePoint now);
 
-  double part_;
+  double fraction_;
   double rounding_;
   double share_ = 0;
   std::array<Slice, kSlices + 1> slices_;
--- a/policy/retry_budget.cc
+++ b/policy/retry_budget.cc
@@ -18,8 +18,8 @@
 // show within seconds.
 constexpr double kRefusalWeight = 1.0 / 8;
 
-void Earn(double& repeats, std::int64_t percent, double cap) {
-  repeats = std::min(cap, repeats + static_cast<double>(percent) * kPercent);
+void Earn(double& retries, std::int64_t percent, double cap) {
+  retries = std::min(cap, retries + static_cast<double>(percent) * kPercent);
 }
 
 }  // namespace
@@ -41,12 +41,12 @@
       std::chrono::duration<double>(options_.idle_refill);
   customer_budget.refilled_at = now;
   // At most one: this is for customers that send too little to earn any.
-  if (customer_budget.repeats < 1) {
-    customer_budget.repeats = std::min(1.0, customer_budget.repeats + earned);
+  if (customer_budget.retries < 1) {
+    customer_budget.retries = std::min(1.0, customer_budget.retries + earned);
   }
 }
 
-void RetryBudget::ForgetIdle(TimePoint now) {
+void RetryBudget::RemoveIdle(TimePoint now) {
   // A customer that was idle for this long has at least the one retry that a
   // new customer starts with, so forgetting it grants nothing extra.
   std::erase_if(customers_, [&](const auto& it) {
@@ -67,7 +67,7 @@
     return it->second;
   }
   if (customers_.size() >= options_.max_customers) {
-    ForgetIdle(now);
+    RemoveIdle(now);
   }
   return customers_.emplace(customer, Budget{1, now}).first->second;
 }
@@ -75,8 +75,8 @@
 void RetryBudget::OnFirstSend(const CustomerId& customer,
                               std::int64_t percent,
                               TimePoint now) {
-  Earn(BudgetOf(customer, now).repeats, percent, options_.customer_cap);
-  Earn(service_.repeats, options_.service_percent, options_.service_cap);
+  Earn(BudgetOf(customer, now).retries, percent, options_.customer_cap);
+  Earn(service_.retries, options_.service_percent, options_.service_cap);
   window_.OnFirstSend(now);
 }
 
@@ -87,24 +87,24 @@
     return false;
   }
   Budget& customer_budget = BudgetOf(customer, now);
-  if (customer_budget.repeats < 1 || !TrySpendOfService(now)) {
+  if (customer_budget.retries < 1 || !TrySpendFromService(now)) {
     return false;
   }
-  customer_budget.repeats -= 1;
+  customer_budget.retries -= 1;
   return true;
 }
 
-bool RetryBudget::TrySpendOfService(TimePoint now) {
+bool RetryBudget::TrySpendFromService(TimePoint now) {
   if (options_.fleet_slack > 0) {
     window_.SetShare(options_.fleet_slack * kAllocatedSlack /
                      fleet_.Count(now));
     return window_.TrySpend(now);
   }
   Refill(service_, now);
-  if (service_.repeats < 1) {
+  if (service_.retries < 1) {
     return false;
   }
-  service_.repeats -= 1;
+  service_.retries -= 1;
   return true;
 }
 
--- a/policy/retry_budget.h
+++ b/policy/retry_budget.h
@@ -71,14 +71,14 @@
 
  private:
   struct Budget {
-    double repeats = 1;
+    double retries = 1;
     TimePoint refilled_at;
   };
 
   Budget& BudgetOf(const CustomerId& customer, TimePoint now);
   void Refill(Budget& customer_budget, TimePoint now) const;
-  void ForgetIdle(TimePoint now);
-  bool TrySpendOfService(TimePoint now);
+  void RemoveIdle(TimePoint now);
+  bool TrySpendFromService(TimePoint now);
 
   RetryBudgetOptions options_;
   std::unordered_map<CustomerId, Budget> customers_;
--- a/policy/sampling_picker.cc
+++ b/policy/sampling_picker.cc
@@ -8,9 +8,9 @@
 namespace {
 
 // Returns whether a random draw falls into the endpoint's share of choices.
-bool DrawsShare(const CandidateView& view,
-                std::size_t position,
-                Random& random) {
+bool IsInShare(const CandidateView& view,
+               std::size_t position,
+               Random& random) {
   constexpr std::uint32_t kScale = 1U << 20;
   const double share = view.ShareAt(position);
   return share >= 1 || UniformBelow(random, kScale) < share * kScale;
@@ -58,7 +58,7 @@
     return false;
   }
   return requirement == Requirement::kNothing ||
-         DrawsShare(view, position, random);
+         IsInShare(view, position, random);
 }
 
 std::optional<EndpointIndex> SamplingPicker::BestOf(const Sample& sample,
--- a/policy/service_balancer.cc
+++ b/policy/service_balancer.cc
@@ -12,7 +12,7 @@
   return static_cast<std::size_t>(urgency);
 }
 
-AdmissionOptions AdmissionOf(const BalancerOptions& options) {
+AdmissionOptions AdmissionOptionsFrom(const BalancerOptions& options) {
   AdmissionOptions admission = options.admission;
   admission.max_waiting = static_cast<std::size_t>(options.max_waiting);
   return admission;
@@ -24,7 +24,7 @@
     : options_(std::move(options)),
       random_(seed),
       table_(options_.table),
-      queue_(AdmissionOf(options_)),
+      queue_(AdmissionOptionsFrom(options_)),
       reservation_(options_.reservation),
       retries_(options_.retries) {}
 
--- a/policy/service_baseline.cc
+++ b/policy/service_baseline.cc
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr double kSampleWeight = 0.05;
-// Time constant with which the reports lose their weight if no new one arrives;
-// after that, only the host's own calls count.
+// Time constant with which the reports lose their weight if no new one arrives.
+// The estimate then relies on the host's own calls.
 constexpr Duration kReportTimeConstant = std::chrono::seconds(1);
 // Divisor of the median that gives the size of its steps.
 constexpr std::int64_t kMedianStepDivisor = 64;
--- a/policy/shared_rate.cc
+++ b/policy/shared_rate.cc
@@ -29,7 +29,7 @@
          piece.length.count();
 }
 
-bool SharedRate::IsDrawn(const Piece& piece, std::int64_t number) const {
+bool SharedRate::HasRequest(const Piece& piece, std::int64_t number) const {
   const std::uint64_t drawn =
       XXH3_64bits_withSeed(&number, sizeof(number), seed_);
   constexpr auto kWhole =
@@ -40,7 +40,7 @@
 bool SharedRate::Allows(double share, TimePoint now) const {
   const Piece piece = PieceOf(share);
   return now - last_send_ >= piece.length &&
-         IsDrawn(piece, NumberOf(piece, now));
+         HasRequest(piece, NumberOf(piece, now));
 }
 
 TimePoint SharedRate::NextAllowed(double share,
--- a/policy/shared_rate.h
+++ b/policy/shared_rate.h
@@ -41,7 +41,7 @@
 
   static Piece PieceOf(double share);
   std::int64_t NumberOf(const Piece& piece, TimePoint now) const;
-  bool IsDrawn(const Piece& piece, std::int64_t number) const;
+  bool HasRequest(const Piece& piece, std::int64_t number) const;
 
   std::uint64_t seed_ = 0;
   TimePoint last_send_;
--- a/tests/policy/test_retry_budget.cc
+++ b/tests/policy/test_retry_budget.cc
@@ -25,7 +25,7 @@
     const std::int64_t percent = *rc::gen::inRange(0, 101);
     TimePoint now = kStart;
     double sends = 0;
-    double repeats = 0;
+    double retries = 0;
     const auto steps =
         *rc::gen::container<std::vector<int>>(400, rc::gen::inRange(0, 3));
     for (const int step : steps) {
@@ -34,14 +34,14 @@
         budget.OnFirstSend(CustomerId("a"), percent, now);
         sends += 1;
       } else if (budget.TrySpend(CustomerId("a"), percent, now)) {
-        repeats += 1;
+        retries += 1;
       }
     }
     const double seconds = std::chrono::duration<double>(now - kStart).count();
     const double allowed =
         1 + sends * static_cast<double>(percent) / 100 + seconds / 10;
-    RC_ASSERT(repeats <= allowed + 1e-9);
-    RC_ASSERT(percent > 0 || repeats == 0);
+    RC_ASSERT(retries <= allowed + 1e-9);
+    RC_ASSERT(percent > 0 || retries == 0);
   });
   CHECK(held);
 }
@@ -51,11 +51,11 @@
   for (int n = 0; n < 100'000; ++n) {
     budget.OnFirstSend(CustomerId("a"), 100, kStart);
   }
-  int repeats = 0;
+  int retries = 0;
   while (budget.TrySpend(CustomerId("a"), 100, kStart)) {
-    ++repeats;
+    ++retries;
   }
-  CHECK(repeats == 10);
+  CHECK(retries == 10);
 }
 
 TEST_CASE("a customer with little traffic may retry one call now and then") {
@@ -68,14 +68,14 @@
 
 TEST_CASE("the limit of the service applies to all customers together") {
   RetryBudget budget(RetryBudgetOptions{});
-  int repeats = 0;
+  int retries = 0;
   for (int n = 0; n < 1000; ++n) {
     const CustomerId customer("c" + std::to_string(n));
     budget.OnFirstSend(customer, 10, kStart);
-    repeats += budget.TrySpend(customer, 10, kStart) ? 1 : 0;
+    retries += budget.TrySpend(customer, 10, kStart) ? 1 : 0;
   }
   // The customers' own budgets would allow 1,000.
-  CHECK(repeats <= 201);
+  CHECK(retries <= 201);
 }
 
 TEST_CASE("calls that ran are not retried while most calls fail") {
@@ -125,7 +125,7 @@
   constexpr double kSlack = 62;
   Random random(20261203);
   for (const std::size_t hosts : {13UL, 17UL, 60UL, 586UL, 1200UL}) {
-    double repeats = 0;
+    double retries = 0;
     for (RetryBudget& budget : MakeFleet(hosts, kSlack, random)) {
       for (int n = 0; n < 1000; ++n) {
         budget.OnFirstSend(CustomerId("c" + std::to_string(n % 100)), 20,
@@ -134,19 +134,19 @@
       const TimePoint later = kStart + std::chrono::seconds(11);
       for (int n = 0; n < 100; ++n) {
         const CustomerId customer("c" + std::to_string(n));
-        repeats += budget.TrySpend(customer, 20, later) ? 1 : 0;
+        retries += budget.TrySpend(customer, 20, later) ? 1 : 0;
       }
     }
     CAPTURE(hosts);
-    CHECK(repeats <= kSlack);
-    CHECK(repeats >= kSlack / 2);
+    CHECK(retries <= kSlack);
+    CHECK(retries >= kSlack / 2);
   }
 }
 
 // Sends and retries of a whole fleet, in steps of a tenth of a second.
 struct FleetLoad {
   std::vector<double> sends;
-  std::vector<double> repeats;
+  std::vector<double> retries;
 
   // Returns the sum over the window that ends before `end`; steps before the
   // start count as zero.
@@ -185,7 +185,7 @@
       load.sends[step] += 1;
       while (UniformBelow(random, kWhole) < refused &&
              budget.TrySpend(customer, 100, now)) {
-        load.repeats[step] += 1;
+        load.retries[step] += 1;
       }
     }
   }
@@ -207,8 +207,8 @@
         const double sends = std::max({FleetLoad::Sum(load.sends, end),
                                        FleetLoad::Sum(load.sends, end - 50),
                                        FleetLoad::Sum(load.sends, end - 100)});
-        const double repeats = FleetLoad::Sum(load.repeats, end);
-        REQUIRE(repeats <= kPart * sends + slack);
+        const double retries = FleetLoad::Sum(load.retries, end);
+        REQUIRE(retries <= kPart * sends + slack);
       }
     }
   }
