--- a/tests/policy/test_endpoint_table.cc
+++ b/tests/policy/test_endpoint_table.cc
@@ -253,9 +253,7 @@
 // Guards against calls that are cut when the endpoint stops. The list may still
 // state that the endpoint is live, so that only its own report shows the drain,
 // and an answer written before may arrive later and report that it serves.
-TEST_CASE(
-    "a draining endpoint gets no new calls, whichever source states the "
-    "drain") {
+TEST_CASE("a draining endpoint gets no new calls, whichever source states it") {
   Fixture fixture(2);
   SUBCASE("its report is the first source") {
     fixture.table.OnReport(0, ReportOf(0, EndpointMode::kDraining),
--- a/tests/policy/test_measured_balancer.cc
+++ b/tests/policy/test_measured_balancer.cc
@@ -130,8 +130,7 @@
 }
 
 TEST_CASE(
-    "a call is refused at once until the first pause ends if all endpoints "
-    "pause") {
+    "a call is refused until the first pause ends if all endpoints pause") {
   constexpr int kEndpoints = 8;
   Harness harness(kEndpoints);
   for (EndpointIndex n = 0; n < kEndpoints; ++n) {
@@ -177,9 +176,7 @@
 
 // Guards against a limit that is still in use long after its end, because no
 // request is sent to an endpoint while others are free.
-TEST_CASE(
-    "an endpoint with a limit gets the calls that it allows while others are "
-    "free") {
+TEST_CASE("an endpoint with a limit gets its calls while others are free") {
   constexpr EndpointIndex kFar = 1;
   Harness harness(2);
   int calls_to_limited = 0;
@@ -620,8 +617,7 @@
 // much less time at another host. Every endpoint has reported that it is full,
 // none is left to probe, and no report to come can be better in time.
 TEST_CASE(
-    "a call is refused at once if all reports show that none can serve it in "
-    "time") {
+    "a call is refused at once if all endpoints report that they are full") {
   Harness harness(4);
   for (EndpointIndex n = 0; n < 4; ++n) {
     harness.reports[n] = MakeReport(9, 1);
--- a/tests/policy/test_service_balancer.cc
+++ b/tests/policy/test_service_balancer.cc
@@ -199,9 +199,7 @@
 
 // Guards against a limit that is still in use long after its end, because no
 // request is sent to an endpoint while others are free.
-TEST_CASE(
-    "an endpoint with a limit gets the calls that it allows while others are "
-    "free") {
+TEST_CASE("an endpoint with a limit gets its calls while others are free") {
   constexpr EndpointIndex kLimited = 3;
   ServiceBalancer balancer(BalancerOptions(), 3);
   balancer.SetService(Service(4, 8), 1, kStart);
