--- a/policy/admission_queue.cc
+++ b/policy/admission_queue.cc
@@ -33,7 +33,7 @@
   return waiting;
 }
 
-WaitingCall AdmissionQueue::TakeOut(CallToken token) {
+WaitingCall AdmissionQueue::Extract(CallToken token) {
   const auto it = calls_.find(token);
   WaitingCall call = std::move(it->second);
   calls_.erase(it);
@@ -49,10 +49,10 @@
   refused.push_back({token, refusal});
 }
 
-bool AdmissionQueue::MakeRoomOfOwn(const CallOffer& offer,
-                                   std::vector<Rejection>& refused) {
-  // Without this a customer's own nightly report fills its waiting room and
-  // its dock command is refused.
+bool AdmissionQueue::EvictOwnCall(const CallOffer& offer,
+                                  std::vector<Rejection>& refused) {
+  // Without this, a customer's own bulk calls (a nightly report) fill its part
+  // of the queue and its urgent calls are refused.
   for (std::size_t n = kUrgencyCount - 1;
        n > static_cast<std::size_t>(offer.urgency); --n) {
     if (const auto token = classes_[n].queue.Newest(offer.customer)) {
@@ -63,8 +63,8 @@
   return false;
 }
 
-bool AdmissionQueue::MakeRoomOfAll(const CallOffer& offer,
-                                   std::vector<Rejection>& refused) {
+bool AdmissionQueue::EvictAnyCall(const CallOffer& offer,
+                                  std::vector<Rejection>& refused) {
   for (std::size_t n = kUrgencyCount - 1;
        n > static_cast<std::size_t>(offer.urgency); --n) {
     if (const auto token = classes_[n].queue.NewestOfLongest()) {
@@ -86,11 +86,11 @@
   const bool bounded = offer.waiting_limit > 0;
   if (bounded &&
       std::cmp_greater_equal(WaitingOf(offer.customer), offer.waiting_limit) &&
-      !MakeRoomOfOwn(offer, refused)) {
+      !EvictOwnCall(offer, refused)) {
     refused.push_back({offer.token, Refusal::kQueueFull});
     return;
   }
-  if (size() >= options_.max_waiting && !MakeRoomOfAll(offer, refused)) {
+  if (size() >= options_.max_waiting && !EvictAnyCall(offer, refused)) {
     refused.push_back({offer.token, Refusal::kQueueFull});
     return;
   }
@@ -106,30 +106,30 @@
   if (!Contains(token)) {
     return false;
   }
-  const WaitingCall call = TakeOut(token);
+  const WaitingCall call = Extract(token);
   UrgencyClass& urgency_class = ClassOf(call.offer.urgency);
   urgency_class.queue.Remove(call.offer.customer, call.offer.arrival, token);
   if (urgency_class.queue.empty()) {
-    urgency_class.owed = 0;
+    urgency_class.credit = 0;
   }
   return true;
 }
 
 bool AdmissionQueue::HasCredit(Urgency urgency) const {
-  return ClassOf(urgency).owed >= 1;
+  return ClassOf(urgency).credit >= 1;
 }
 
 void AdmissionQueue::GrantCredit(Urgency urgency) {
   if (!ClassOf(urgency).queue.empty()) {
-    ClassOf(urgency).owed = 1;
+    ClassOf(urgency).credit = 1;
   }
 }
 
 UrgencyOrder AdmissionQueue::Order() const {
   UrgencyOrder order;
-  for (const bool owed : {true, false}) {
+  for (const bool has_credit : {true, false}) {
     for (const Urgency it : kUrgencies) {
-      if (Waiting(it) > 0 && HasCredit(it) == owed) {
+      if (Waiting(it) > 0 && HasCredit(it) == has_credit) {
         order.Append(it);
       }
     }
@@ -144,24 +144,24 @@
 
 WaitingCall AdmissionQueue::Take(Urgency urgency) {
   UrgencyClass& taken = ClassOf(urgency);
-  WaitingCall call = TakeOut(taken.queue.PopHead());
+  WaitingCall call = Extract(taken.queue.PopHead());
   OnDirectDispatch(urgency);
   return call;
 }
 
 void AdmissionQueue::OnDirectDispatch(Urgency urgency) {
   UrgencyClass& taken = ClassOf(urgency);
-  taken.owed = std::max(0.0, taken.owed - 1);
-  // Whoever waited through this dispatch is owed its floor of it. More than
-  // one is never owed, so that a class that found no endpoint for long does
-  // not take all of them afterwards.
+  taken.credit = std::max(0.0, taken.credit - 1);
+  // Each urgency that kept waiting earns credit for its guaranteed minimum
+  // share. Credit is capped at one dispatch, so that an urgency that found no
+  // endpoint for a long time does not take all of them afterwards.
   for (std::size_t n = 0; n < kUrgencyCount; ++n) {
     UrgencyClass& it = classes_[n];
     if (it.queue.empty()) {
-      it.owed = 0;
+      it.credit = 0;
     } else if (&it != &taken) {
       const double earned = options_.floors[n] * CostRatio(taken, it);
-      it.owed = std::min(1.0, it.owed + earned);
+      it.credit = std::min(1.0, it.credit + earned);
     }
   }
 }
--- a/policy/cold_allowance.h
+++ b/policy/cold_allowance.h
@@ -10,47 +10,48 @@
 
 namespace damasktack {
 
-// When one host may send a call to one endpoint that is cold.
+// Decides when one host may send a call to one cold endpoint.
 //
-// The load that it answers: the endpoints of a zone come back together with
-// empty caches. Each of them tolerates a few calls a second from all hosts
-// together, and crashes well above that; each looks free to every host.
+// Made for the endpoints of a zone that return together with empty caches. Each
+// of them tolerates a few calls a second from all hosts together and crashes
+// well above that, while it looks free to every host.
 class ColdAllowance {
  public:
-  // `seed` differs by host and by endpoint.
+  // `seed` must differ for each pair of host and endpoint.
   explicit ColdAllowance(std::uint64_t seed = 0) : rate_(seed) {}
 
-  // The newest word of how long the endpoint stays cold, and whose it is.
-  void OnCold(ColdSource word, TimePoint until, TimePoint now) {
+  // Stores the latest statement of how long the endpoint stays cold, and its
+  // source.
+  void OnCold(ColdSource source, TimePoint until, TimePoint now) {
     if (until != cold_until_) {
-      word_ = word;
-      told_at_ = now;
+      source_ = source;
+      stated_at_ = now;
     }
     cold_until_ = until;
   }
   bool IsCold(TimePoint now) const { return now < cold_until_; }
   TimePoint cold_until() const { return cold_until_; }
-  ColdSource word() const { return word_; }
-  TimePoint told_at() const { return told_at_; }
-
-  // Where the host has a seat: whether it has a turn at the endpoint.
-  HostQuota& turns() { return turns_; }
-  bool HasHostQuota(TimePoint now) const { return turns_.IsAvailable(now); }
-  // Where it has none: whether its part of the rate, `share` calls a second,
-  // lets a call through.
+  ColdSource source() const { return source_; }
+  TimePoint stated_at() const { return stated_at_; }
+
+  // For a host with a host number: its quota at the endpoint.
+  HostQuota& quota() { return quota_; }
+  bool HasHostQuota(TimePoint now) const { return quota_.IsAvailable(now); }
+  // For a host without a host number: returns whether its share of the rate,
+  // `share` calls a second, allows a call now.
   bool Allows(double share, TimePoint now) const {
     return !IsCold(now) || rate_.Allows(share, now);
   }
   void OnSend(TimePoint now) {
-    turns_.OnSend(now);
+    quota_.OnSend(now);
     rate_.OnSend(now);
   }
 
  private:
   TimePoint cold_until_;
-  ColdSource word_ = ColdSource::kList;
-  TimePoint told_at_;
-  HostQuota turns_;
+  ColdSource source_ = ColdSource::kList;
+  TimePoint stated_at_;
+  HostQuota quota_;
   SharedRate rate_;
 };
 
--- a/policy/cold_endpoints.cc
+++ b/policy/cold_endpoints.cc
@@ -9,14 +9,15 @@
 
 namespace {
 
-// The part of the rate that hosts share out. Where all of them begin to have
-// calls at one moment, those of the windows that have begun and of the next
-// ones come within a second.
-constexpr double kSharedOut = 0.5;
-// The part of the bound that is given out in turns: a turn is counted by two
-// hosts where one of them has not heard yet that it lost its seat.
-constexpr double kSharedTurns = 0.5;
-// Fewer calls than this are none; estimates that fade are no whole numbers.
+// Fraction of the rate that is divided among the hosts. If all hosts start to
+// have calls at the same moment, the calls of the windows in progress and of
+// the next windows fall within one second.
+constexpr double kAllocatedFraction = 0.5;
+// Fraction of the limit that is handed out as quota: two hosts use the same
+// unit while one of them has not learned yet that it lost its host number.
+constexpr double kQuotaFraction = 0.5;
+// Calls below which an endpoint counts as idle; decayed estimates are not whole
+// numbers.
 constexpr double kIdleCalls = 0.5;
 
 }  // namespace
@@ -32,14 +33,14 @@
   }
 }
 
-void ColdEndpoints::SetHostNumber(const HostNumber& seat) {
-  seat_ = seat;
+void ColdEndpoints::SetHostNumber(const HostNumber& host_number) {
+  host_number_ = host_number;
   AssignQuotas();
 }
 
 void ColdEndpoints::AssignQuotas() {
   for (EndpointIndex n = 0; n < ids_.size(); ++n) {
-    allowances_[n].turns().Draw(ids_[n], TotalQuota(), seat_);
+    allowances_[n].quota().Draw(ids_[n], TotalQuota(), host_number_);
   }
 }
 
@@ -48,11 +49,11 @@
     return 0;
   }
   const double most = rate_ * options_.overshoot + options_.slack;
-  return static_cast<int>(most * kSharedTurns);
+  return static_cast<int>(most * kQuotaFraction);
 }
 
-// What the endpoints of a zone had in their caches is gone when the zone is
-// given back, and the list says so a heartbeat later only.
+// The endpoints of a zone have lost their caches when its drain ends, but the
+// list states this only one heartbeat later.
 void ColdEndpoints::OnListed(EndpointIndex index,
                              const EndpointSpec* before,
                              const EndpointSpec& spec,
@@ -64,7 +65,7 @@
     const std::string names = host_.text() + spec.id.text();
     allowance = ColdAllowance(XXH3_64bits(names.data(), names.size()));
     ids_[index] = spec.id;
-    allowance.turns().Draw(spec.id, TotalQuota(), seat_);
+    allowance.quota().Draw(spec.id, TotalQuota(), host_number_);
   }
   allowance.OnCold(ColdSource::kList,
                    std::max(allowance.cold_until(), spec.cold_until), now);
@@ -76,7 +77,7 @@
 }
 
 double ColdEndpoints::Share(TimePoint now) const {
-  return rate_ * kSharedOut / fleet_.Count(now);
+  return rate_ * kAllocatedFraction / fleet_.Count(now);
 }
 
 bool ColdEndpoints::IsAllowed(EndpointIndex index, TimePoint now) const {
@@ -84,25 +85,26 @@
   return UsesHostQuota() ? it.HasHostQuota(now) : it.Allows(Share(now), now);
 }
 
-bool ColdEndpoints::CanAcceptCall(const ColdObservation& look,
+bool ColdEndpoints::CanAcceptCall(const ColdObservation& observation,
                                   TimePoint now) const {
-  if (!IsCold(look.index, now)) {
+  if (!IsCold(observation.index, now)) {
     return true;
   }
-  const bool has_room =
-      UsesHostQuota() ? look.calls + 1 <= look.slots : look.calls < kIdleCalls;
-  return look.is_known && has_room && IsAllowed(look.index, now);
+  const bool has_room = UsesHostQuota()
+                            ? observation.calls + 1 <= observation.slots
+                            : observation.calls < kIdleCalls;
+  return observation.is_known && has_room && IsAllowed(observation.index, now);
 }
 
-// Read late, an answer from before the endpoint became cold would end what the
-// list has said since.
+// An answer requested before the latest statement cannot end it: read late, it
+// would make the endpoint look warm although it has become cold since.
 void ColdEndpoints::OnColdTime(EndpointIndex index,
                                Duration cold_for,
                                TimePoint asked_at,
                                TimePoint now) {
   ColdAllowance& allowance = allowances_[index];
   TimePoint until = now + cold_for;
-  if (asked_at < allowance.told_at()) {
+  if (asked_at < allowance.stated_at()) {
     until = std::max(until, allowance.cold_until());
   }
   allowance.OnCold(ColdSource::kProbe, until, now);
@@ -115,10 +117,10 @@
   }
   const ColdAllowance& it = allowances_[index];
   ColdBasis basis;
-  basis.word = it.word();
-  basis.source_age = now - it.told_at();
+  basis.word = it.source();
+  basis.source_age = now - it.stated_at();
   basis.left = it.cold_until() - now;
-  basis.seat = seat_;
+  basis.seat = host_number_;
   basis.hosts = fleet_.Count(now);
   return basis;
 }
--- a/policy/cold_slowdown.cc
+++ b/policy/cold_slowdown.cc
@@ -6,10 +6,11 @@
 
 namespace {
 
-// Weight of one more execution.
+// Weight of a new execution in the moving average.
 constexpr double kSampleWeight = 1.0 / 8;
-// Slower ones wait in a queue or fail; that says nothing of the start.
-constexpr double kMostPace = 4;
+// Upper bound on the slowdown of one execution. Beyond it the call waited in a
+// queue or failed, which is unrelated to the start.
+constexpr double kMaxSlowdown = 4;
 
 }  // namespace
 
@@ -17,9 +18,9 @@
   if (usual <= Duration::zero()) {
     return;
   }
-  const double pace =
+  const double slowdown =
       static_cast<double>(took.count()) / static_cast<double>(usual.count());
-  value_ += (std::clamp(pace, 1.0, kMostPace) - value_) * kSampleWeight;
+  value_ += (std::clamp(slowdown, 1.0, kMaxSlowdown) - value_) * kSampleWeight;
 }
 
 }  // namespace damasktack
--- a/policy/crash_tracker.cc
+++ b/policy/crash_tracker.cc
@@ -9,18 +9,20 @@
 
 namespace {
 
-// Requests cleared last: a sighting may arrive after the word that clears it.
-constexpr std::size_t kMostCleared = 64;
-// A trial that has brought no word for this long is given to another call.
-constexpr Duration kTrialTime = std::chrono::seconds(5);
-constexpr std::uint32_t kStretchSteps = 1000;
+// Number of recently cleared requests that are kept: an observation may arrive
+// after the message that clears its request.
+constexpr std::size_t kMaxCleared = 64;
+// A trial without a result for this long is given to another call.
+constexpr Duration kTrialTimeout = std::chrono::seconds(5);
+constexpr std::uint32_t kFactorSteps = 1000;
 
 }  // namespace
 
 CrashTracker::CrashTracker(CrashTrackerOptions options, std::uint64_t seed)
     : options_(options) {
   Random random(seed);
-  stretch_ = 1 + 0.5 * UniformBelow(random, kStretchSteps) / kStretchSteps;
+  quarantine_factor_ =
+      1 + 0.5 * UniformBelow(random, kFactorSteps) / kFactorSteps;
 }
 
 bool CrashTracker::Crash::Has(RequestFingerprint request) const {
@@ -31,7 +33,7 @@
   const bool has_room = crash.suspects.size() < options_.max_suspects;
   if (has_room && !crash.Has(request)) {
     crash.suspects.push_back(request);
-    ++mentions_[request];
+    ++crashes_by_suspect_[request];
   }
 }
 
@@ -39,9 +41,9 @@
   if (std::erase(crash.suspects, request) == 0) {
     return false;
   }
-  const auto it = mentions_.find(request);
+  const auto it = crashes_by_suspect_.find(request);
   if (--it->second == 0) {
-    mentions_.erase(it);
+    crashes_by_suspect_.erase(it);
   }
   return true;
 }
@@ -70,9 +72,10 @@
       crashes_, [](const Crash& it) { return !it.is_confirmed; }));
 }
 
-CrashTracker::Crash* CrashTracker::FindOrAdd(const CrashObservation& sighting,
-                                             bool is_confirmed) {
-  Crash* crash = Find(sighting.endpoint, sighting.at);
+CrashTracker::Crash* CrashTracker::FindOrAdd(
+    const CrashObservation& observation,
+    bool is_confirmed) {
+  Crash* crash = Find(observation.endpoint, observation.at);
   if (crash == nullptr) {
     if (!is_confirmed && CountUnconfirmed() >= options_.max_unconfirmed) {
       return nullptr;
@@ -81,22 +84,23 @@
       const Crash* oldest = &crashes_.front();
       RemoveCrashes([&](const Crash& it) { return &it == oldest; });
     }
-    crashes_.push_back({sighting.endpoint, sighting.at, is_confirmed, {}});
+    crashes_.push_back(
+        {observation.endpoint, observation.at, is_confirmed, {}});
     crash = &crashes_.back();
   }
-  AddSuspect(*crash, sighting.request);
+  AddSuspect(*crash, observation.request);
   return crash;
 }
 
-SuspectStep CrashTracker::Suspect(const CrashObservation& sighting) {
-  Forget(sighting.at);
-  const Crash* known = Find(sighting.endpoint, sighting.at);
+SuspectStep CrashTracker::Suspect(const CrashObservation& observation) {
+  Forget(observation.at);
+  const Crash* known = Find(observation.endpoint, observation.at);
   if (known == nullptr) {
-    return FindOrAdd(sighting, false) != nullptr ? SuspectStep::kCheck
-                                                 : SuspectStep::kNone;
+    return FindOrAdd(observation, false) != nullptr ? SuspectStep::kCheck
+                                                    : SuspectStep::kNone;
   }
-  const bool is_news = known->is_confirmed && !known->Has(sighting.request);
-  FindOrAdd(sighting, false);
+  const bool is_news = known->is_confirmed && !known->Has(observation.request);
+  FindOrAdd(observation, false);
   return is_news ? SuspectStep::kShare : SuspectStep::kNone;
 }
 
@@ -121,25 +125,26 @@
   });
 }
 
-bool CrashTracker::IsClearedSince(const CrashObservation& sighting) const {
+bool CrashTracker::IsClearedSince(const CrashObservation& observation) const {
   return std::ranges::any_of(cleared_, [&](const ClearedRequest& it) {
-    return it.request == sighting.request && it.at >= sighting.at;
+    return it.request == observation.request && it.at >= observation.at;
   });
 }
 
-bool CrashTracker::Add(const CrashObservation& sighting, TimePoint now) {
+bool CrashTracker::Add(const CrashObservation& observation, TimePoint now) {
   Forget(now);
-  const bool is_old = now - sighting.at >= options_.memory;
-  if (is_old || IsClearedSince(sighting)) {
+  const bool is_old = now - observation.at >= options_.memory;
+  if (is_old || IsClearedSince(observation)) {
     return false;
   }
-  const Crash* known = Find(sighting.endpoint, sighting.at);
-  if (known != nullptr && known->is_confirmed && known->Has(sighting.request)) {
+  const Crash* known = Find(observation.endpoint, observation.at);
+  if (known != nullptr && known->is_confirmed &&
+      known->Has(observation.request)) {
     return false;
   }
-  Crash* crash = FindOrAdd(sighting, true);
+  Crash* crash = FindOrAdd(observation, true);
   crash->is_confirmed = true;
-  return crash->Has(sighting.request);
+  return crash->Has(observation.request);
 }
 
 std::size_t CrashTracker::Clear(const ClearedRequest& cleared, TimePoint now) {
@@ -147,7 +152,7 @@
   if (!IsSuspect(cleared.request)) {
     return 0;
   }
-  trials_.erase(cleared.request);
+  last_trials_.erase(cleared.request);
   std::size_t confirmed = 0;
   for (Crash& it : crashes_) {
     if (it.at <= cleared.at && RemoveSuspect(it, cleared.request)) {
@@ -159,7 +164,7 @@
   }
   RemoveCrashes(
       [](const Crash& it) { return it.is_confirmed && it.suspects.empty(); });
-  if (cleared_.size() >= kMostCleared) {
+  if (cleared_.size() >= kMaxCleared) {
     cleared_.pop_front();
   }
   cleared_.push_back(cleared);
@@ -184,8 +189,9 @@
 std::size_t CrashTracker::CountUnexplained(RequestFingerprint request,
                                            std::size_t crashes) const {
   const auto explains = [&](RequestFingerprint other) {
-    const std::size_t theirs = CountCrashes(other);
-    return theirs >= options_.crashes_to_quarantine && theirs > crashes;
+    const std::size_t other_crashes = CountCrashes(other);
+    return other_crashes >= options_.crashes_to_quarantine &&
+           other_crashes > crashes;
   };
   std::size_t count = 0;
   for (const Crash& it : crashes_) {
@@ -209,7 +215,8 @@
        n < crashes && time < options_.longest_quarantine; ++n) {
     time *= 2;
   }
-  return Scaled(std::min(time, options_.longest_quarantine), stretch_);
+  return Scaled(std::min(time, options_.longest_quarantine),
+                quarantine_factor_);
 }
 
 RequestJudgement CrashTracker::Judge(RequestFingerprint request,
@@ -226,26 +233,26 @@
   if (now < until) {
     return {Suspicion::kQuarantined, until - now};
   }
-  const auto trial = trials_.find(request);
-  if (trial != trials_.end() && now < trial->second + kTrialTime) {
-    return {Suspicion::kQuarantined, trial->second + kTrialTime - now};
+  const auto trial = last_trials_.find(request);
+  if (trial != last_trials_.end() && now < trial->second + kTrialTimeout) {
+    return {Suspicion::kQuarantined, trial->second + kTrialTimeout - now};
   }
-  if (trials_.size() >= options_.max_crashes) {
-    trials_.clear();
+  if (last_trials_.size() >= options_.max_crashes) {
+    last_trials_.clear();
   }
-  trials_[request] = now;
+  last_trials_[request] = now;
   return {Suspicion::kSuspected, {}, true};
 }
 
 std::vector<CrashObservation> CrashTracker::ObservationsOf(
     RequestFingerprint request) const {
-  std::vector<CrashObservation> sightings;
+  std::vector<CrashObservation> observations;
   for (const Crash& it : crashes_) {
     if (it.is_confirmed && it.Has(request)) {
-      sightings.push_back({request, it.endpoint, it.at});
+      observations.push_back({request, it.endpoint, it.at});
     }
   }
-  return sightings;
+  return observations;
 }
 
 std::vector<RequestFingerprint> CrashTracker::Suspects(
--- a/policy/endpoint_health.cc
+++ b/policy/endpoint_health.cc
@@ -6,18 +6,18 @@
 
 namespace {
 
-// Answers of median time that each endpoint is credited with, so that a few
-// slow ones tell nothing yet.
-constexpr double kAnswersCredited = 4;
-// Load by slot that a share of 1 of refused sends stands for.
-constexpr double kLoadOfRefusals = 8;
-// An endpoint that is slower than others by less than this is not penalised:
-// kinds of calls differ by more.
-constexpr double kSlownessAllowed = 2;
-constexpr double kLoadOfSlowness = 0.5;
+// Number of answers of median time credited to each endpoint, so that a few
+// slow answers are not conclusive.
+constexpr double kPriorAnswers = 4;
+// Load per slot added if all sends are refused.
+constexpr double kRefusalPenalty = 8;
+// Slowdown relative to the others below which an endpoint is not penalized:
+// kinds of calls differ by up to this factor.
+constexpr double kToleratedSlowness = 2;
+constexpr double kSlownessPenalty = 0.5;
 
-// The credit of one send without error keeps a single error from counting as
-// a share of 1.
+// One send without error is added, so that a single error does not count as a
+// fraction of 1.
 double ShareOf(double part, double whole) {
   if (part <= 0 || whole <= 0) {
     return 0;
@@ -28,7 +28,7 @@
 double MeanTime(double time, double answers) {
   time = std::max(time, 0.0);
   answers = std::max(answers, 0.0);
-  return (time + kAnswersCredited) / (answers + kAnswersCredited);
+  return (time + kPriorAnswers) / (answers + kPriorAnswers);
 }
 
 bool IsError(SendResult result) {
@@ -43,7 +43,7 @@
 void EndpointHealth::OnEnd(SendResult result,
                            double relative_time,
                            TimePoint now) {
-  // The end of a cancelled send is the caller's doing.
+  // A cancelled send was ended by the caller.
   if (result == SendResult::kCancelled) {
     return;
   }
@@ -72,8 +72,8 @@
 double HealthComparison::Penalty() const {
   const double refusals =
       std::max(0.0, refusal_share - refusal_share_of_others);
-  const double slow = std::max(0.0, slowness - kSlownessAllowed);
-  return kLoadOfRefusals * refusals + kLoadOfSlowness * slow;
+  const double slow = std::max(0.0, slowness - kToleratedSlowness);
+  return kRefusalPenalty * refusals + kSlownessPenalty * slow;
 }
 
 HealthComparison Compare(const EndpointHealth& endpoint,
--- a/policy/endpoint_roster.cc
+++ b/policy/endpoint_roster.cc
@@ -10,17 +10,18 @@
 
 namespace {
 
-// An answer written before the endpoint began to drain may arrive after one
-// that says so. Believed, it would bring new calls to an endpoint that is
-// about to stop; answers in flight are far younger than this.
-constexpr Duration kDrainHolds = std::chrono::seconds(2);
+// Time for which a reported drain overrides later reports of another mode. An
+// answer written before the drain may arrive after the one that reports it; if
+// trusted, it would bring new calls to an endpoint that is about to stop.
+// Answers in flight are far younger than this.
+constexpr Duration kDrainHoldTime = std::chrono::seconds(2);
 
-// How often penalties fade without an end of a send.
-constexpr Duration kRefreshTime = std::chrono::milliseconds(100);
+// Interval at which penalties are refreshed if no send ends.
+constexpr Duration kRefreshInterval = std::chrono::milliseconds(100);
 
-// Whether the end of a send says anything of the endpoint's health: the
-// caller cancels, and an endpoint that sheds is only full.
-bool TellsOfHealth(SendResult result) {
+// Returns whether the end of a send is evidence of the endpoint's health. A
+// cancelled send is not, nor is a shed: the endpoint is only full.
+bool IsHealthEvidence(SendResult result) {
   return result != SendResult::kCancelled && result != SendResult::kShed;
 }
 
@@ -42,12 +43,12 @@
   return index;
 }
 
-EndpointIndex EndpointRoster::Add(bool taken_as_warm, TimePoint now) {
+EndpointIndex EndpointRoster::Add(bool assume_warm, TimePoint now) {
   const EndpointIndex index = AllocateIndex();
   records_[index].state_since = now;
-  if (taken_as_warm) {
-    Follow(index, EndpointEvent::kServes, "listed", now);
-    Follow(index, EndpointEvent::kWarmed, "listed", now);
+  if (assume_warm) {
+    ApplyEvent(index, EndpointEvent::kServes, "listed", now);
+    ApplyEvent(index, EndpointEvent::kWarmed, "listed", now);
   }
   Recount();
   return index;
@@ -60,19 +61,19 @@
   const bool was_leaving = record.listed_as_leaving;
   record.listed_as_leaving = !spec.AcceptsNewCalls();
   if (record.listed_as_leaving) {
-    Follow(index, EndpointEvent::kDrains,
-           spec.zone_drained ? "zone drained" : "list", now);
+    ApplyEvent(index, EndpointEvent::kDrains,
+               spec.zone_drained ? "zone drained" : "list", now);
   } else if (was_leaving && !record.drain_reported &&
              !record.announced_leaving) {
-    Follow(index, EndpointEvent::kServes, "list", now);
+    ApplyEvent(index, EndpointEvent::kServes, "list", now);
   }
-  KeepCeiling(now);
+  EnforceEjectionLimit(now);
 }
 
 void EndpointRoster::OnUnlisted(EndpointIndex index, TimePoint now) {
   records_[index].listed = false;
-  Follow(index, EndpointEvent::kUnlisted, "list", now);
-  KeepCeiling(now);
+  ApplyEvent(index, EndpointEvent::kUnlisted, "list", now);
+  EnforceEjectionLimit(now);
 }
 
 void EndpointRoster::OnReportedMode(EndpointIndex index,
@@ -82,20 +83,20 @@
   if (mode == EndpointMode::kDraining) {
     record.drain_reported = true;
     record.drain_reported_at = now;
-    Follow(index, EndpointEvent::kDrains, "report", now);
-    KeepCeiling(now);
+    ApplyEvent(index, EndpointEvent::kDrains, "report", now);
+    EnforceEjectionLimit(now);
     return;
   }
-  const bool is_held =
-      record.drain_reported && now - record.drain_reported_at < kDrainHolds;
-  if (is_held || record.announced_leaving) {
+  const bool is_drain_held =
+      record.drain_reported && now - record.drain_reported_at < kDrainHoldTime;
+  if (is_drain_held || record.announced_leaving) {
     return;
   }
   record.drain_reported = false;
   if (mode == EndpointMode::kStarting) {
-    Follow(index, EndpointEvent::kRestarts, "report", now);
+    ApplyEvent(index, EndpointEvent::kRestarts, "report", now);
   } else if (!record.listed_as_leaving) {
-    Follow(index, EndpointEvent::kServes, "report", now);
+    ApplyEvent(index, EndpointEvent::kServes, "report", now);
   }
 }
 
@@ -103,16 +104,16 @@
   if (std::exchange(records_[index].announced_leaving, true)) {
     return;
   }
-  Follow(index, EndpointEvent::kDrains, "said that it leaves", now);
-  KeepCeiling(now);
+  ApplyEvent(index, EndpointEvent::kDrains, "said that it leaves", now);
+  EnforceEjectionLimit(now);
 }
 
 void EndpointRoster::OnMisdirected(EndpointIndex index, TimePoint now) {
   EndpointRecord& record = records_[index];
   record.drain_reported = true;
   record.drain_reported_at = now;
-  Follow(index, EndpointEvent::kDrains, "address taken over", now);
-  KeepCeiling(now);
+  ApplyEvent(index, EndpointEvent::kDrains, "address taken over", now);
+  EnforceEjectionLimit(now);
 }
 
 void EndpointRoster::OnSendEnd(EndpointIndex index,
@@ -132,16 +133,16 @@
     OnTrialEnd(index, result, now);
     return;
   }
-  // An endpoint that sends no reports shows by an answer that it serves. Not
-  // one that leaves: the answers to calls that were under way when it began to
-  // would bring it new ones until it stops.
+  // An answer shows that an endpoint without reports serves. This does not hold
+  // for a leaving endpoint: answers to calls that were in flight when it began
+  // to leave would bring it new calls until it stops.
   const bool leaves = record.listed_as_leaving || record.drain_reported ||
                       record.announced_leaving;
   if (result == SendResult::kAnswered && !record.estimate.has_report() &&
       !leaves) {
-    Follow(index, EndpointEvent::kServes, "answer", now);
+    ApplyEvent(index, EndpointEvent::kServes, "answer", now);
   }
-  if (TellsOfHealth(result)) {
+  if (IsHealthEvidence(result)) {
     EjectOutlier(index, health, now);
   }
 }
@@ -149,15 +150,15 @@
 void EndpointRoster::OnTrialEnd(EndpointIndex index,
                                 SendResult result,
                                 TimePoint now) {
-  if (!TellsOfHealth(result)) {
+  if (!IsHealthEvidence(result)) {
     return;
   }
   if (result != SendResult::kAnswered) {
     Eject(index, "trial failed", now);
     return;
   }
-  if (++records_[index].trial_answers >= kTrialAnswers) {
-    Follow(index, EndpointEvent::kTrialPassed, "trial passed", now);
+  if (++records_[index].trial_answers >= kAnswersToPassTrial) {
+    ApplyEvent(index, EndpointEvent::kTrialPassed, "trial passed", now);
   }
 }
 
@@ -178,18 +179,19 @@
 void EndpointRoster::Eject(EndpointIndex index,
                            std::string_view reason,
                            TimePoint now) {
-  if (!Follow(index, EndpointEvent::kFailing, reason, now)) {
+  if (!ApplyEvent(index, EndpointEvent::kFailing, reason, now)) {
     return;
   }
   EndpointRecord& record = records_[index];
   ++record.ejections;
   record.ejected_until = now + EjectionTime(record.ejections);
   next_change_ = std::min(next_change_, record.ejected_until);
-  // A trial that fails may do so after others have left.
-  KeepCeiling(now);
+  // Other endpoints may have left during the failed trial, which lowers the
+  // limit of ejections.
+  EnforceEjectionLimit(now);
 }
 
-void EndpointRoster::ForgetHealth(EndpointRecord& record, TimePoint now) {
+void EndpointRoster::ResetHealth(EndpointRecord& record, TimePoint now) {
   service_health_.Forget(record.health, now);
   record.health = EndpointHealth();
   record.penalty = 0;
@@ -197,7 +199,7 @@
 
 void EndpointRoster::Advance(TimePoint now) {
   if (now >= next_refresh_) {
-    next_refresh_ = now + kRefreshTime;
+    next_refresh_ = now + kRefreshInterval;
     for (EndpointRecord& it : records_) {
       it.penalty = Compare(it.health, service_health_, now).Penalty();
     }
@@ -215,15 +217,15 @@
   EndpointRecord& record = records_[index];
   if (record.state == EndpointState::kEjected) {
     if (now >= record.ejected_until) {
-      Follow(index, EndpointEvent::kEjectionOver, "ejection over", now);
+      ApplyEvent(index, EndpointEvent::kEjectionOver, "ejection over", now);
     } else {
       next_change_ = std::min(next_change_, record.ejected_until);
     }
   }
   if (record.state == EndpointState::kWarming) {
-    const TimePoint warm_at = record.state_since + kWarmingTime;
+    const TimePoint warm_at = record.state_since + kSlowStartTime;
     if (now >= warm_at) {
-      Follow(index, EndpointEvent::kWarmed, "warm", now);
+      ApplyEvent(index, EndpointEvent::kWarmed, "warm", now);
       record.ejections = 0;
     } else {
       next_change_ = std::min(next_change_, warm_at);
@@ -231,9 +233,9 @@
   }
 }
 
-// Endpoints that leave lower the ceiling; those that have been out longest
-// go on trial then.
-void EndpointRoster::KeepCeiling(TimePoint now) {
+// Keeps the number of ejected endpoints within the limit, which falls when
+// endpoints leave. Those that have been ejected longest go on trial first.
+void EndpointRoster::EnforceEjectionLimit(TimePoint now) {
   const std::size_t most = MaxEjected(CountLive());
   while (CountIn(EndpointState::kEjected) > most) {
     const auto longest =
@@ -241,15 +243,15 @@
           return it.state == EndpointState::kEjected ? it.state_since
                                                      : TimePoint::max();
         });
-    Follow(static_cast<EndpointIndex>(longest - records_.begin()),
-           EndpointEvent::kEjectionOver, "too many are out", now);
+    ApplyEvent(static_cast<EndpointIndex>(longest - records_.begin()),
+               EndpointEvent::kEjectionOver, "too many are out", now);
   }
 }
 
-bool EndpointRoster::Follow(EndpointIndex index,
-                            EndpointEvent event,
-                            std::string_view reason,
-                            TimePoint now) {
+bool EndpointRoster::ApplyEvent(EndpointIndex index,
+                                EndpointEvent event,
+                                std::string_view reason,
+                                TimePoint now) {
   EndpointRecord& record = records_[index];
   const std::optional<EndpointState> next =
       GetEndpointChart().Next(record.state, event);
@@ -266,12 +268,12 @@
   record.state_since = now;
   record.reason = reason;
   if (record.state == EndpointState::kTrial) {
-    // What led to the ejection says nothing of the trial.
-    ForgetHealth(record, now);
+    // The sends before the ejection are no evidence for the trial.
+    ResetHealth(record, now);
     record.trial_answers = 0;
   }
   if (record.state == EndpointState::kWarming) {
-    next_change_ = std::min(next_change_, now + kWarmingTime);
+    next_change_ = std::min(next_change_, now + kSlowStartTime);
   }
   Recount();
   return true;
--- a/policy/execution_profile.cc
+++ b/policy/execution_profile.cc
@@ -9,14 +9,15 @@
 
 namespace {
 
-// Moves by a small step towards each answer, and so towards their median: a
-// mean would follow the few that took several times as long.
+// Relative step towards each sample. With steps of fixed size the estimate
+// follows the median; a mean would follow the few executions that take several
+// times as long.
 constexpr double kStep = 0.03;
-// The first quarter of the slots whose slowdown is learnt.
-constexpr std::size_t kFirstLearnt = 2;
-// No server is believed to slow down by more; what goes beyond moves the usual
-// time, as it does where an endpoint has a single slot.
-constexpr double kMostSlowdown = 4;
+// Index of the first quarter of the slots whose slowdown is learned.
+constexpr std::size_t kFirstLearnedPart = 2;
+// Upper bound on the slowdown of a server. Longer executions change the usual
+// time instead, as they do at endpoints with a single slot.
+constexpr double kMaxSlowdown = 4;
 
 double StepTowards(double value, double sample) {
   return value * (sample > value ? 1 + kStep : 1 - kStep);
@@ -28,8 +29,8 @@
   usual_ = usual;
 }
 
-std::size_t ExecutionProfile::PartOf(double fill) {
-  const double parts = std::ceil(std::min(fill, 1.0) * kParts);
+std::size_t ExecutionProfile::QuarterOf(double fill) {
+  const double parts = std::ceil(std::min(fill, 1.0) * kQuarters);
   return static_cast<std::size_t>(std::max(parts, 1.0)) - 1;
 }
 
@@ -37,23 +38,23 @@
   if (fill > 1 || !is_known()) {
     return;
   }
-  const std::size_t part = PartOf(fill);
+  const std::size_t part = QuarterOf(fill);
   const double longer =
       static_cast<double>(took.count()) / static_cast<double>(usual_.count());
-  const bool is_beyond = slowdown_[part] >= kMostSlowdown || longer < 1;
-  const bool tells_of_usual = part < kFirstLearnt || is_beyond;
-  if (tells_of_usual) {
+  const bool is_out_of_range = slowdown_[part] >= kMaxSlowdown || longer < 1;
+  const bool affects_usual_time = part < kFirstLearnedPart || is_out_of_range;
+  if (affects_usual_time) {
     usual_ = Scaled(usual_, StepTowards(1, longer / slowdown_[part]));
   }
-  if (part >= kFirstLearnt) {
+  if (part >= kFirstLearnedPart) {
     slowdown_[part] =
-        std::clamp(StepTowards(slowdown_[part], longer), 1.0, kMostSlowdown);
+        std::clamp(StepTowards(slowdown_[part], longer), 1.0, kMaxSlowdown);
   }
 }
 
 double ExecutionProfile::Slowdown(double fill) const {
   const auto end =
-      slowdown_.begin() + static_cast<std::ptrdiff_t>(PartOf(fill)) + 1;
+      slowdown_.begin() + static_cast<std::ptrdiff_t>(QuarterOf(fill)) + 1;
   return *std::max_element(slowdown_.begin(), end);
 }
 
--- a/policy/host_quota.cc
+++ b/policy/host_quota.cc
@@ -9,42 +9,45 @@
 
 namespace {
 
-// By linear hashing: each seat more moves the turns of one seat only, so that
-// hosts which differ in the number of seats hardly differ in who has a turn.
-std::int64_t HostNumberOfUnit(std::uint64_t drawn, std::int64_t seats) {
-  const auto all = std::bit_ceil(static_cast<std::uint64_t>(seats));
+// Uses linear hashing: an additional host number takes units from only one
+// other number, so that hosts that disagree on the count of numbers hardly
+// disagree on the assignment.
+std::int64_t HostNumberOfUnit(std::uint64_t drawn, std::int64_t count) {
+  const auto all = std::bit_ceil(static_cast<std::uint64_t>(count));
   const auto number = static_cast<std::int64_t>(drawn & (all - 1));
-  return number < seats ? number
+  return number < count ? number
                         : static_cast<std::int64_t>(drawn & (all / 2 - 1));
 }
 
 }  // namespace
 
 void HostQuota::Draw(const EndpointId& endpoint,
-                     int turns,
-                     const HostNumber& seat) {
-  own_turns_ = 0;
-  if (!seat.IsKnown()) {
+                     int units,
+                     const HostNumber& host_number) {
+  own_units_ = 0;
+  if (!host_number.IsKnown()) {
     return;
   }
   const auto seed = XXH3_64bits(endpoint.text().data(), endpoint.text().size());
-  for (int turn = 0; turn < turns; ++turn) {
-    const auto drawn = XXH3_64bits_withSeed(&turn, sizeof(turn), seed);
-    own_turns_ += HostNumberOfUnit(drawn, seat.seats) == seat.number ? 1 : 0;
+  for (int unit = 0; unit < units; ++unit) {
+    const auto drawn = XXH3_64bits_withSeed(&unit, sizeof(unit), seed);
+    own_units_ +=
+        HostNumberOfUnit(drawn, host_number.seats) == host_number.number ? 1
+                                                                         : 0;
   }
 }
 
 bool HostQuota::IsAvailable(TimePoint now) const {
   const auto used = std::ranges::count_if(
       sent_, [now](TimePoint it) { return now - it < kQuotaWindow; });
-  return used < own_turns_;
+  return used < own_units_;
 }
 
 void HostQuota::OnSend(TimePoint now) {
-  if (own_turns_ == 0) {
+  if (own_units_ == 0) {
     return;
   }
-  if (sent_.size() >= static_cast<std::size_t>(own_turns_)) {
+  if (sent_.size() >= static_cast<std::size_t>(own_units_)) {
     sent_.erase(sent_.begin());
   }
   sent_.push_back(now);
--- a/policy/measured_balancer.cc
+++ b/policy/measured_balancer.cc
@@ -9,14 +9,14 @@
 
 namespace {
 
-// Bounds of Retry-After. The shorter one is the time in which a slow server may
-// become a fast one, or a slot free, at the host that the caller meets next.
-// Not spread at random: callers come back to other hosts, and a longer wait on
-// average has fewer of them served.
-constexpr Duration kShortestRetryAfter = std::chrono::milliseconds(15);
-constexpr Duration kLongestRetryAfter = std::chrono::seconds(1);
-
-// From 0 to 1.
+// Bounds of Retry-After. The lower bound is the time in which a slow server may
+// recover, or a slot become free, at the host that the caller reaches next. No
+// jitter is added: callers return to other hosts, and a longer average delay
+// lets fewer of them be served.
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(15);
+constexpr Duration kMaxRetryAfter = std::chrono::seconds(1);
+
+// Returns a random number from 0 to 1.
 double RandomFraction(Random& random) {
   constexpr std::uint32_t kSteps = 1U << 16U;
   return static_cast<double>(UniformBelow(random, kSteps)) / kSteps;
@@ -44,7 +44,7 @@
 std::optional<MeasuredCandidate> MeasuredBalancer::BestFreshOnTime(
     const WaitingCall& call,
     TimePoint now) {
-  if (probes_.CountFresh(now) < options_.enough) {
+  if (probes_.CountFresh(now) < options_.min_fresh_reports) {
     return std::nullopt;
   }
   const std::optional<MeasuredCandidate> best = endpoints_.Best(
@@ -59,11 +59,11 @@
          call.offer.on_time_until;
 }
 
-// Nowhere is the call on time. It goes to a place that is free, if it ends
-// before its deadline there, though late.
-bool MeasuredBalancer::IsLastChance(const WaitingCall& call,
-                                    const MeasuredCandidate& best,
-                                    TimePoint now) const {
+// Used if the call is on time at no endpoint: it is sent to one with a free
+// slot if it completes there before its deadline, though late.
+bool MeasuredBalancer::MayFinishLate(const WaitingCall& call,
+                                     const MeasuredCandidate& best,
+                                     TimePoint now) const {
   return best.HasFreeSlot() && now + best.finish < call.offer.deadline;
 }
 
@@ -76,21 +76,21 @@
     if (!endpoints_.HasEndpointInRegionsOf(call)) {
       return {Step::kRefuse, best};
     }
-    const bool looks = probes_.HasPendingProbes(now) ||
-                       probes_.RequestProbes(call, now, random_);
+    const bool awaits_probes = probes_.HasPendingProbes(now) ||
+                               probes_.RequestProbes(call, now, random_);
     const TimePoint since =
-        std::min(no_place_since_.value_or(now), call.offer.arrival);
-    const bool is_given_up =
-        !looks && (IsUnavailableTooLong(call, now) ||
-                   now - since >= options_.no_endpoint_timeout);
-    return {is_given_up ? Step::kRefuse : Step::kWait, best};
+        std::min(unavailable_since_.value_or(now), call.offer.arrival);
+    const bool has_timed_out =
+        !awaits_probes && (IsUnavailableTooLong(call, now) ||
+                           now - since >= options_.no_endpoint_timeout);
+    return {has_timed_out ? Step::kRefuse : Step::kWait, best};
   }
   if (best->is_good) {
     return {Step::kSend, best};
   }
-  if (const std::optional<MeasuredCandidate> settled =
+  if (const std::optional<MeasuredCandidate> best_fresh =
           BestFreshOnTime(call, now)) {
-    return {Step::kSend, settled};
+    return {Step::kSend, best_fresh};
   }
   if (probes_.HasPendingProbes(now) ||
       probes_.RequestProbes(call, now, random_)) {
@@ -99,44 +99,44 @@
   if (IsOnTime(call, *best, now)) {
     return {Step::kSend, best};
   }
-  const bool is_last_chance = IsLastChance(call, *best, now);
-  return {is_last_chance ? Step::kSend : Step::kRefuse, best};
+  const bool may_finish_late = MayFinishLate(call, *best, now);
+  return {may_finish_late ? Step::kSend : Step::kRefuse, best};
 }
 
 bool MeasuredBalancer::IsUnavailableTooLong(const WaitingCall& call,
                                             TimePoint now) const {
-  const TimePoint patience_ends = now + options_.no_endpoint_timeout;
-  const auto opens_at = endpoints_.AvailableAt(call, now, patience_ends);
-  return opens_at && *opens_at >= patience_ends;
+  const TimePoint timeout_at = now + options_.no_endpoint_timeout;
+  const auto available_at = endpoints_.AvailableAt(call, now, timeout_at);
+  return available_at && *available_at >= timeout_at;
 }
 
 void MeasuredBalancer::Offer(const CallOffer& offer,
                              TimePoint now,
                              Decisions& out) {
-  callers_.Note(offer.customer, offer.asked, now);
+  returning_callers_.Record(offer.customer, offer.asked, now);
   Admit(WaitingCall{offer, std::nullopt}, now, out);
 }
 
 void MeasuredBalancer::Admit(WaitingCall call, TimePoint now, Decisions& out) {
   endpoints_.GuessUsualTime(call.offer);
   queue_.Add(std::move(call), out.rejections);
-  Pump(now, out);
+  ProcessQueue(now, out);
 }
 
 bool MeasuredBalancer::Withdraw(CallToken token, TimePoint /*now*/) {
   return queue_.Remove(token);
 }
 
-void MeasuredBalancer::Pump(TimePoint now, Decisions& out) {
+void MeasuredBalancer::ProcessQueue(TimePoint now, Decisions& out) {
   if (queue_.empty()) {
     return;
   }
   queue_.Expire(now, ServiceTimes{}, out.rejections);
-  while (PumpOne(now, out)) {
+  while (ProcessOne(now, out)) {
   }
 }
 
-bool MeasuredBalancer::PumpOne(TimePoint now, Decisions& out) {
+bool MeasuredBalancer::ProcessOne(TimePoint now, Decisions& out) {
   for (const Urgency urgency : queue_.Order()) {
     const WaitingCall& head = *queue_.Head(urgency);
     const auto [step, best] = Decide(head, now);
@@ -160,14 +160,14 @@
     const WaitingCall& call,
     const std::optional<MeasuredCandidate>& best,
     TimePoint now) const {
-  Duration wait = kShortestRetryAfter;
+  Duration wait = kMinRetryAfter;
   if (best) {
     wait = std::max(wait, now + best->finish - call.offer.on_time_until);
-  } else if (const auto opens_at =
-                 endpoints_.AvailableAt(call, now, now + kLongestRetryAfter)) {
-    wait = std::max(wait, *opens_at - now);
+  } else if (const auto available_at =
+                 endpoints_.AvailableAt(call, now, now + kMaxRetryAfter)) {
+    wait = std::max(wait, *available_at - now);
   }
-  return std::min(wait, kLongestRetryAfter);
+  return std::min(wait, kMaxRetryAfter);
 }
 
 DecisionBasis MeasuredBalancer::BasisOf(
@@ -202,7 +202,7 @@
   endpoints_.OnSendEnd(end, now);
   retries_.OnSendEnd(end.result);
   if (!MayRetry(offer, end, now)) {
-    Pump(now, out);
+    ProcessQueue(now, out);
     return AfterSend::kDone;
   }
   Admit(WaitingCall{offer, end.endpoint}, now, out);
@@ -219,13 +219,13 @@
                     now);
 }
 
-// A caller that comes for the first time has another try of its own, which
-// costs no repeat; one that has come back is lost when it is refused. Where
-// endpoints refuse half of what they get, repeats for everybody were spent on
-// those that would have come back.
+// A first-time caller can try again by itself, which costs no retry; a
+// returning caller is lost if it is refused. When endpoints refused half of the
+// calls, retries for all callers were spent on those that would have returned
+// anyway.
 bool MeasuredBalancer::IsLeftToCaller(const CallOffer& offer) const {
   return retries_.AreScarce() &&
-         !callers_.IsReturning(offer.customer, offer.asked);
+         !returning_callers_.IsReturning(offer.customer, offer.asked);
 }
 
 bool MeasuredBalancer::MayRetry(const CallOffer& offer,
@@ -257,7 +257,7 @@
                               TimePoint now,
                               Decisions& out) {
   endpoints_.OnReport(endpoint, report, now);
-  Pump(now, out);
+  ProcessQueue(now, out);
 }
 
 void MeasuredBalancer::ProbeFailed(EndpointIndex endpoint,
@@ -265,7 +265,7 @@
                                    TimePoint now,
                                    Decisions& out) {
   endpoints_.OnProbeFailed(endpoint, result, now);
-  Pump(now, out);
+  ProcessQueue(now, out);
 }
 
 void MeasuredBalancer::OnPeerDrain(const EndpointId& id, TimePoint now) {
@@ -273,21 +273,21 @@
 }
 
 void MeasuredBalancer::Tick(TimePoint now, Decisions& out) {
-  Pump(now, out);
+  ProcessQueue(now, out);
 }
 
 std::optional<EndpointIndex> MeasuredBalancer::NextProbe(TimePoint /*now*/) {
   return probes_.Next();
 }
 
-// A call that may go to some regions only says nothing of the others.
+// A call that is restricted to some regions says nothing about the others.
 void MeasuredBalancer::UpdateUnavailableSince(const WaitingCall& call,
-                                              bool is_there,
+                                              bool is_available,
                                               TimePoint now) {
-  if (is_there) {
-    no_place_since_.reset();
-  } else if (!no_place_since_ && call.offer.allowed_regions.empty()) {
-    no_place_since_ = now;
+  if (is_available) {
+    unavailable_since_.reset();
+  } else if (!unavailable_since_ && call.offer.allowed_regions.empty()) {
+    unavailable_since_ = now;
   }
 }
 
--- a/policy/measured_endpoints.cc
+++ b/policy/measured_endpoints.cc
@@ -11,31 +11,34 @@
 
 namespace {
 
-// Weight of one more report in what is usual.
+// Weight of a new report in the averages of the service.
 constexpr double kSampleWeight = 1.0 / 16;
-// Part of the time left that an execution is taken for, before the first
-// answer tells.
-constexpr int kFirstGuess = 3;
-// An endpoint that has just started works up to twice as long. After its first
-// call, which warms it, a host prefers others that are as free.
-constexpr double kColdCost = 1.35;
-// Endpoints that are listed this soon after the first belong to it: where
-// everything starts at once they are published one by one, and none of them is
-// to be looked at before the others.
-constexpr Duration kSettling = std::chrono::seconds(5);
-// One that has joined and was never measured is looked at before others: left
-// out of the first look it would get no calls while the others suffice. Only by
-// hosts that will turn to it later, so that not each host opens a connection to
-// each endpoint that joins.
-constexpr double kNewLook = 0.3;
-// One on trial is for calls that find nothing better.
-constexpr double kTrialCost = 2;
-// A probe that failed within this makes an endpoint the last choice.
-constexpr Duration kProbeFailureHolds = std::chrono::milliseconds(800);
-constexpr double kProbeFailureCost = 8;
-// Answers without a report after which an endpoint's service is taken to have
+// Divisor of the first call's time until its objective; the result is the
+// assumed execution time until the first answer.
+constexpr int kInitialTimeDivisor = 3;
+// Cost factor of an endpoint in slow start, which may take twice as long as
+// usual. It applies after the host's first call there, which warms the endpoint
+// up, so that other free endpoints are preferred.
+constexpr double kSlowStartCostFactor = 1.35;
+// Endpoints listed within this time after the first list count as part of it:
+// when a whole service starts, its endpoints are published one by one, and none
+// of them should be probed before the others.
+constexpr Duration kStartupPeriod = std::chrono::seconds(5);
+// Cost factor for probing an endpoint that has joined and was never measured.
+// Without it the endpoint would be left out of the first probes and get no
+// calls while the others suffice. It applies only on hosts that have the
+// endpoint in their first group, so that not every host opens a connection to
+// every new endpoint.
+constexpr double kNewEndpointCostFactor = 0.3;
+// Cost factor of an endpoint on trial, which takes calls only if nothing better
+// is available.
+constexpr double kTrialCostFactor = 2;
+// A failed probe within this time makes an endpoint the last choice.
+constexpr Duration kProbeFailureHoldTime = std::chrono::milliseconds(800);
+constexpr double kProbeFailureCostFactor = 8;
+// Number of answers without any report after which a service is assumed to send
 // none.
-constexpr std::uint64_t kSilentAnswers = 8;
+constexpr std::uint64_t kAnswersWithoutReport = 8;
 
 bool HasHadCalls(const EndpointRecord& record) {
   return record.estimate.own_in_flight() > 0 || record.health.ever_ended();
@@ -46,30 +49,31 @@
 MeasuredEndpoints::MeasuredEndpoints(const MeasuredBalancerOptions& options)
     : options_(options),
       cold_(options.host, options.cold),
-      restraints_(options.host),
+      limits_(options.host),
       preference_(options.preference) {}
 
 void MeasuredEndpoints::SetService(const ServiceSpec& service,
                                    std::int64_t hosts,
                                    TimePoint now) {
   cold_.SetService(service, hosts, now);
-  restraints_.SetService(service.endpoints.size(), hosts, now);
+  limits_.SetService(service.endpoints.size(), hosts, now);
   const bool has_left = Unlist(service, now);
   if (!first_list_at_ && !service.endpoints.empty()) {
     first_list_at_ = now;
   }
-  const bool as_warm = first_list_at_ && now - *first_list_at_ < kSettling;
+  const bool assume_warm =
+      first_list_at_ && now - *first_list_at_ < kStartupPeriod;
   bool has_changed = false;
   for (const EndpointSpec& it : service.endpoints) {
     const auto known = listed_.find(it.id);
     if (known == listed_.end() || specs_[known->second] != it) {
-      TakeIn(it, as_warm, now);
+      ApplySpec(it, assume_warm, now);
       has_changed = true;
     }
   }
   if (has_left || has_changed) {
     roster_.Recount();
-    DrawPreference();
+    UpdatePreference();
   }
 }
 
@@ -91,12 +95,12 @@
   return gone > 0;
 }
 
-void MeasuredEndpoints::TakeIn(const EndpointSpec& spec,
-                               bool as_warm,
-                               TimePoint now) {
+void MeasuredEndpoints::ApplySpec(const EndpointSpec& spec,
+                                  bool assume_warm,
+                                  TimePoint now) {
   const auto [known, is_new] = listed_.try_emplace(spec.id);
   if (is_new) {
-    known->second = Add(spec, as_warm, now);
+    known->second = Add(spec, assume_warm, now);
   }
   const EndpointIndex index = known->second;
   cold_.OnListed(index, is_new ? nullptr : &specs_[index], spec, now);
@@ -108,10 +112,10 @@
 }
 
 EndpointIndex MeasuredEndpoints::Add(const EndpointSpec& spec,
-                                     bool as_warm,
+                                     bool assume_warm,
                                      TimePoint now) {
   const bool has_restarted = unlisted_ids_.contains(spec.id);
-  const EndpointIndex index = roster_.Add(as_warm && !has_restarted, now);
+  const EndpointIndex index = roster_.Add(assume_warm && !has_restarted, now);
   if (index < specs_.size()) {
     const auto before = unlisted_ids_.find(specs_[index].id);
     if (before != unlisted_ids_.end()) {
@@ -122,7 +126,7 @@
     specs_.resize(index + 1);
     measures_.resize(index + 1);
   }
-  restraints_.OnAdded(index, spec.id);
+  limits_.OnAdded(index, spec.id);
   return index;
 }
 
@@ -141,10 +145,10 @@
 
 bool MeasuredEndpoints::CanAcceptCall(const MeasuredCandidate& candidate,
                                       TimePoint now) const {
-  const ColdObservation look{candidate.index, candidate.is_fresh,
-                             candidate.calls, candidate.slots};
-  return restraints_.CanAcceptCall(candidate.index, now) &&
-         cold_.CanAcceptCall(look, now);
+  const ColdObservation observation{candidate.index, candidate.is_fresh,
+                                    candidate.calls, candidate.slots};
+  return limits_.CanAcceptCall(candidate.index, now) &&
+         cold_.CanAcceptCall(observation, now);
 }
 
 std::optional<ColdBasis> MeasuredEndpoints::ColdBasisOf(
@@ -159,10 +163,12 @@
   return basis;
 }
 
-// Others are as free at any time, so that without this it would hardly be asked
-// and nobody would learn that its limit is gone.
-bool MeasuredEndpoints::IsDue(const MeasuredCandidate& candidate) const {
-  return restraints_.rate_limit(candidate.index) && candidate.HasFreeSlot() &&
+// Other endpoints are always as free, so without this rule an endpoint with a
+// limit would hardly receive requests, and no host would learn that its limit
+// has ended.
+bool MeasuredEndpoints::IsLimitedAndFree(
+    const MeasuredCandidate& candidate) const {
+  return limits_.rate_limit(candidate.index) && candidate.HasFreeSlot() &&
          candidate.pace <= options_.good_pace;
 }
 
@@ -171,15 +177,15 @@
     TimePoint now,
     TimePoint latest) const {
   if (call.offer.allowed_regions.empty()) {
-    return restraints_.FirstAvailableAt(usable(), now, latest);
+    return limits_.FirstAvailableAt(usable(), now, latest);
   }
   std::vector<EndpointIndex> allowed;
   std::ranges::copy_if(usable(), std::back_inserter(allowed),
                        [&](EndpointIndex it) { return IsAllowed(call, it); });
-  return restraints_.FirstAvailableAt(allowed, now, latest);
+  return limits_.FirstAvailableAt(allowed, now, latest);
 }
 
-void MeasuredEndpoints::DrawPreference() {
+void MeasuredEndpoints::UpdatePreference() {
   std::vector<EndpointPreference::Choice> choices;
   for (EndpointIndex n = 0; n < specs_.size(); ++n) {
     const EndpointRecord& record = roster_.records()[n];
@@ -192,37 +198,37 @@
 
 void MeasuredEndpoints::GuessUsualTime(const CallOffer& offer) {
   if (!profile_.is_known()) {
-    profile_.Guess((offer.on_time_until - offer.arrival) / kFirstGuess);
+    profile_.Guess((offer.on_time_until - offer.arrival) / kInitialTimeDivisor);
   }
 }
 
 bool MeasuredEndpoints::AreReporting() const {
-  return reports_ > 0 || silent_answers_ < kSilentAnswers;
+  return reports_ > 0 || answers_without_report_ < kAnswersWithoutReport;
 }
 
 double MeasuredEndpoints::PaceOf(EndpointIndex index, TimePoint now) const {
   const EndpointRecord& record = roster_.records()[index];
   double pace = measures_[index].Pace(prior_, options_.memory, now);
   if (record.state == EndpointState::kTrial) {
-    pace *= kTrialCost;
+    pace *= kTrialCostFactor;
   } else if (cold_.IsSlow(index, now)) {
-    pace *= cold_pace_.value();
+    pace *= cold_slowdown_.value();
   } else if (record.state != EndpointState::kServing && HasHadCalls(record)) {
-    pace *= kColdCost;
+    pace *= kSlowStartCostFactor;
   }
-  if (measures_[index].FailedSince(now - kProbeFailureHolds)) {
-    pace *= kProbeFailureCost;
+  if (measures_[index].FailedSince(now - kProbeFailureHoldTime)) {
+    pace *= kProbeFailureCostFactor;
   }
   return pace;
 }
 
 double MeasuredEndpoints::CallsAt(EndpointIndex index, TimePoint now) const {
   const EndpointRecord& record = roster_.records()[index];
-  const double told =
+  const double reported =
       AreReporting()
           ? measures_[index].Calls(prior_, record.slots, options_.memory, now)
           : 0;
-  return std::max<double>(told, record.estimate.own_in_flight());
+  return std::max<double>(reported, record.estimate.own_in_flight());
 }
 
 MeasuredCandidate MeasuredEndpoints::Evaluate(EndpointIndex index,
@@ -238,19 +244,19 @@
   const double slowdown = profile_.Slowdown(it.FillAfterSend());
   const double work = it.pace * slowdown * (1 + queued / record.slots);
   it.finish = Scaled(profile_.usual(), work);
-  // One that fails or refuses more than the others comes after them; what it
-  // does take ends no later for that.
-  const double disfavour = 1 + record.penalty;
-  it.cost = Scaled(it.finish, disfavour) +
+  // An endpoint that fails or refuses more than the others is ranked lower, but
+  // the calls that it accepts do not take longer.
+  const double failure_factor = 1 + record.penalty;
+  it.cost = Scaled(it.finish, failure_factor) +
             Scaled(profile_.usual(), preference_.Cost(index));
   it.is_good = it.is_fresh && queued == 0 &&
-               it.pace * slowdown * disfavour <= options_.good_pace;
+               it.pace * slowdown * failure_factor <= options_.good_pace;
   return it;
 }
 
 std::optional<MeasuredCandidate> MeasuredEndpoints::Best(
     const WaitingCall& call,
-    CandidateSet among,
+    CandidateSet candidates,
     TimePoint now,
     Random& random) {
   roster_.Advance(now);
@@ -259,7 +265,8 @@
   if (usable.empty()) {
     return best;
   }
-  // From a random start, so that hosts with the same reports choose apart.
+  // The random start makes hosts with the same reports choose different
+  // endpoints.
   std::size_t at =
       UniformBelow(random, static_cast<std::uint32_t>(usable.size()));
   for (std::size_t n = 0; n < usable.size(); ++n) {
@@ -270,11 +277,11 @@
       continue;
     }
     MeasuredCandidate it = Evaluate(index, now);
-    if ((among == CandidateSet::kFresh && !it.is_fresh) ||
+    if ((candidates == CandidateSet::kFresh && !it.is_fresh) ||
         !CanAcceptCall(it, now)) {
       continue;
     }
-    if (IsDue(it)) {
+    if (IsLimitedAndFree(it)) {
       it.is_good = true;
       return it;
     }
@@ -296,7 +303,7 @@
   const bool was_measured = measures_[index].ReportAge(now) >= Duration::zero();
   const bool is_warm = !cold_.IsSlow(index, now);
   if (has_joined && is_warm && preference_.IsFirst(index) && !was_measured) {
-    it.cost = Scaled(it.cost, kNewLook);
+    it.cost = Scaled(it.cost, kNewEndpointCostFactor);
   }
   return it;
 }
@@ -307,10 +314,10 @@
   SentCall& sent = sent_[token];
   sent = {to.FillAfterSend(), to.pace, to.is_fresh, std::nullopt};
   if (cold_.IsSlow(to.index, now)) {
-    sent.warm_time = Scaled(to.finish, 1 / cold_pace_.value());
+    sent.warm_time = Scaled(to.finish, 1 / cold_slowdown_.value());
   }
   cold_.OnSend(to.index, now);
-  restraints_.OnSend(to.index, now);
+  limits_.OnSend(to.index, now);
   roster_.record(to.index).estimate.OnSend();
   measures_[to.index].OnSend();
 }
@@ -320,10 +327,11 @@
   if (end.report) {
     OnReport(end.endpoint, *end.report, now);
   } else if (end.result == SendResult::kAnswered) {
-    ++silent_answers_;
+    ++answers_without_report_;
   }
-  // Slowness shows in the reports; compared between endpoints it would only
-  // eject whoever is slow for half a second.
+  // The relative time is left at 1: reports already show slow endpoints, and a
+  // comparison between endpoints would eject those that are slow for half a
+  // second.
   roster_.OnSendEnd(end.endpoint, end.result, 1, now);
   if (const auto sent = sent_.extract(end.token)) {
     Learn(end, sent.mapped());
@@ -333,7 +341,7 @@
 void MeasuredEndpoints::Learn(const SendEnd& end, const SentCall& sent) {
   if (sent.warm_time) {
     if (end.result == SendResult::kAnswered && sent.is_fresh) {
-      cold_pace_.OnExecution(end.took, *sent.warm_time);
+      cold_slowdown_.OnExecution(end.took, *sent.warm_time);
     }
     return;
   }
@@ -379,7 +387,7 @@
   const auto known = listed_.find(endpoint.id);
   if (known != listed_.end() &&
       specs_[known->second].started_at == endpoint.started_at) {
-    restraints_.OnPeerLimit(known->second, rate_limit, stated_at);
+    limits_.OnPeerLimit(known->second, rate_limit, stated_at);
   }
 }
 
@@ -410,7 +418,7 @@
     endpoint.estimated_in_flight = Evaluate(n, now).calls;
     endpoint.slots = static_cast<std::int32_t>(record.slots);
     endpoint.report_age = measures_[n].ReportAge(now);
-    endpoint.rate_limit = restraints_.rate_limit(n);
+    endpoint.rate_limit = limits_.rate_limit(n);
     list.push_back(std::move(endpoint));
   }
   return list;
--- a/policy/probe_planner.cc
+++ b/policy/probe_planner.cc
@@ -13,8 +13,8 @@
 void ProbePlanner::Share(std::size_t endpoints,
                          std::int64_t hosts,
                          TimePoint now) {
-  // Unlike calls that are shared out, probes are not held back while a host
-  // that starts does not know the fleet: it decides by them.
+  // Unlike the shares of calls, probes are not held back while a starting host
+  // does not know the size of the fleet: its decisions depend on them.
   fleet_.Set(hosts, 0, now);
   const double rate = options_.probe_limit * options_.probe_part *
                       static_cast<double>(endpoints) / fleet_.Count(now);
@@ -24,12 +24,12 @@
 }
 
 bool ProbePlanner::HasPendingProbes(TimePoint now) const {
-  if (!wanted_.empty()) {
+  if (!requested_probes_.empty()) {
     return true;
   }
-  const Duration patience = ProbeTimeout(now);
+  const Duration timeout = ProbeTimeout(now);
   return std::ranges::any_of(endpoints_.usable(), [&](EndpointIndex it) {
-    return endpoints_.measure(it).IsPending(now, patience);
+    return endpoints_.measure(it).IsPending(now, timeout);
   });
 }
 
@@ -39,8 +39,9 @@
       [&](EndpointIndex it) { return endpoints_.IsFresh(it, now); }));
 }
 
-// A host that has just started, or is slow, would have endpoints of all zones
-// probed for one call while the answers of the first ones stand unread.
+// Without the extension, a host that has just started or is slow would probe
+// endpoints of all zones for one call while the answers to its first probes are
+// still unread.
 Duration ProbePlanner::ProbeTimeout(TimePoint now) const {
   const auto overdue =
       std::ranges::count_if(endpoints_.usable(), [&](EndpointIndex it) {
@@ -77,10 +78,10 @@
     return false;
   }
   std::vector<MeasuredCandidate> unknown = ProbeCandidates(call, now);
-  const bool is_first_look = CountFresh(now) == 0;
+  const bool is_first_round = CountFresh(now) == 0;
   const std::size_t most =
-      std::min(unknown.size(),
-               is_first_look ? options_.first_probes : options_.further_probes);
+      std::min(unknown.size(), is_first_round ? options_.first_probes
+                                              : options_.further_probes);
   std::ranges::shuffle(unknown, random);
   std::ranges::partial_sort(unknown,
                             unknown.begin() + static_cast<std::ptrdiff_t>(most),
@@ -92,18 +93,18 @@
       break;
     }
     endpoints_.OnProbe(unknown[n].index, now);
-    wanted_.push_back(unknown[n].index);
+    requested_probes_.push_back(unknown[n].index);
     any = true;
   }
   return any;
 }
 
 std::optional<EndpointIndex> ProbePlanner::Next() {
-  if (wanted_.empty()) {
+  if (requested_probes_.empty()) {
     return std::nullopt;
   }
-  const EndpointIndex next = wanted_.front();
-  wanted_.erase(wanted_.begin());
+  const EndpointIndex next = requested_probes_.front();
+  requested_probes_.erase(requested_probes_.begin());
   ++sent_;
   return next;
 }
--- a/policy/probe_priority.cc
+++ b/policy/probe_priority.cc
@@ -6,24 +6,26 @@
 
 namespace {
 
-// Reports on answers come about every three execution times to a host of
-// fifteen; sooner than after several of those a probe is wasted.
+// Age of a report, in time constants, after which a probe is useful. In a fleet
+// of fifteen hosts, a host receives a report on an answer about every three
+// execution times; an earlier probe would be wasted.
 constexpr std::int64_t kRelaxationsUntilStale = 8;
-constexpr Duration kLeastStale = std::chrono::milliseconds(50);
-constexpr Duration kStaleWhenIdle = std::chrono::seconds(5);
-// A probe that has been lost must not bar the endpoint from the next.
-constexpr Duration kProbeLost = std::chrono::seconds(2);
-// Nothing hangs on the load of an endpoint that takes no calls, only on
+constexpr Duration kMinStaleAge = std::chrono::milliseconds(50);
+constexpr Duration kStaleAgeWhenIdle = std::chrono::seconds(5);
+// A probe without a result for this long counts as lost and no longer blocks
+// the next one.
+constexpr Duration kProbeTimeout = std::chrono::seconds(2);
+// Weight for an endpoint that takes no calls: its load does not matter, only
 // whether it serves again.
-constexpr double kWorthWithoutCalls = 0.2;
-constexpr Duration kNeverReported = std::chrono::minutes(1);
+constexpr double kPriorityWithoutCalls = 0.2;
+constexpr Duration kAgeWithoutReport = std::chrono::minutes(1);
 
 }  // namespace
 
 double ProbePriority(const EndpointRecord& record,
                      const ProbeContext& context) {
-  const bool pending =
-      record.probe_pending && context.now - record.probe_sent_at < kProbeLost;
+  const bool pending = record.probe_pending &&
+                       context.now - record.probe_sent_at < kProbeTimeout;
   if (pending || record.state == EndpointState::kGone ||
       record.listed_as_leaving) {
     return 0;
@@ -31,16 +33,16 @@
   const bool takes_calls = TakesCalls(record.state);
   const Duration stale =
       context.busy && takes_calls
-          ? std::max(kRelaxationsUntilStale * context.relaxation, kLeastStale)
-          : kStaleWhenIdle;
+          ? std::max(kRelaxationsUntilStale * context.relaxation, kMinStaleAge)
+          : kStaleAgeWhenIdle;
   const Duration age = record.estimate.has_report()
                            ? record.estimate.ReportAge(context.now)
-                           : kNeverReported;
+                           : kAgeWithoutReport;
   if (age < stale) {
     return 0;
   }
-  const double worth = takes_calls ? 1 : kWorthWithoutCalls;
-  return worth * static_cast<double>(age.count());
+  const double weight = takes_calls ? 1 : kPriorityWithoutCalls;
+  return weight * static_cast<double>(age.count());
 }
 
 }  // namespace damasktack
--- a/policy/retry_budget.cc
+++ b/policy/retry_budget.cc
@@ -7,17 +7,19 @@
 namespace {
 
 constexpr double kPercent = 0.01;
-// The rest is for hosts that start, each with a repeat of its own, and for
-// wrong beliefs of how many hosts there are.
-constexpr double kSlackUsed = 0.75;
-// Weight of one more send in the part that failed.
+// Fraction of the slack that is divided among the hosts. The rest is for
+// starting hosts, each with one retry of its own, and for errors in the count
+// of hosts.
+constexpr double kAllocatedSlack = 0.75;
+// Weight of a new send in the fraction that failed.
 constexpr double kSampleWeight = 1.0 / 64;
-// The same for the part that was refused: a host may have a few sends a second,
-// and half of them refused has to show within seconds.
+// Weight of a new send in the fraction that was refused. It is larger, since a
+// host may have only a few sends a second, and a refusal of half of them must
+// show within seconds.
 constexpr double kRefusalWeight = 1.0 / 8;
 
-void Earn(double& repeats, std::int64_t percent, double cap) {
-  repeats = std::min(cap, repeats + static_cast<double>(percent) * kPercent);
+void Earn(double& retries, std::int64_t percent, double cap) {
+  retries = std::min(cap, retries + static_cast<double>(percent) * kPercent);
 }
 
 }  // namespace
@@ -33,48 +35,48 @@
   fleet_.Set(hosts, endpoints, now);
 }
 
-void RetryBudget::Refill(Account& account, TimePoint now) const {
+void RetryBudget::Refill(Budget& customer_budget, TimePoint now) const {
   const double earned =
-      std::chrono::duration<double>(now - account.refilled_at) /
+      std::chrono::duration<double>(now - customer_budget.refilled_at) /
       std::chrono::duration<double>(options_.idle_refill);
-  account.refilled_at = now;
-  // Never above one: this is for those that send too little to earn any.
-  if (account.repeats < 1) {
-    account.repeats = std::min(1.0, account.repeats + earned);
+  customer_budget.refilled_at = now;
+  // At most one: this is for customers that send too little to earn any.
+  if (customer_budget.retries < 1) {
+    customer_budget.retries = std::min(1.0, customer_budget.retries + earned);
   }
 }
 
-void RetryBudget::ForgetIdle(TimePoint now) {
-  // One that did nothing for this long is back at the one repeat that a new
-  // customer starts with, or above it: forgetting gives nobody more.
+void RetryBudget::RemoveIdle(TimePoint now) {
+  // A customer that was idle for this long has at least the one retry that a
+  // new customer starts with, so forgetting it grants nothing extra.
   std::erase_if(customers_, [&](const auto& it) {
     return now - it.second.refilled_at >= options_.idle_refill;
   });
-  // The bound on memory holds whatever arrives. Starting over gives each
-  // customer one repeat at most, and the service's own account still binds.
+  // Keeps memory bounded under any load. Starting over grants each customer at
+  // most one retry, and the budget of the service still applies.
   if (customers_.size() >= options_.max_customers) {
     customers_.clear();
   }
 }
 
-RetryBudget::Account& RetryBudget::AccountOf(const CustomerId& customer,
-                                             TimePoint now) {
+RetryBudget::Budget& RetryBudget::BudgetOf(const CustomerId& customer,
+                                           TimePoint now) {
   const auto it = customers_.find(customer);
   if (it != customers_.end()) {
     Refill(it->second, now);
     return it->second;
   }
   if (customers_.size() >= options_.max_customers) {
-    ForgetIdle(now);
+    RemoveIdle(now);
   }
-  return customers_.emplace(customer, Account{1, now}).first->second;
+  return customers_.emplace(customer, Budget{1, now}).first->second;
 }
 
 void RetryBudget::OnFirstSend(const CustomerId& customer,
                               std::int64_t percent,
                               TimePoint now) {
-  Earn(AccountOf(customer, now).repeats, percent, options_.customer_cap);
-  Earn(service_.repeats, options_.service_percent, options_.service_cap);
+  Earn(BudgetOf(customer, now).retries, percent, options_.customer_cap);
+  Earn(service_.retries, options_.service_percent, options_.service_cap);
   window_.OnFirstSend(now);
 }
 
@@ -84,24 +86,25 @@
   if (percent <= 0) {
     return false;
   }
-  Account& account = AccountOf(customer, now);
-  if (account.repeats < 1 || !TrySpendOfService(now)) {
+  Budget& customer_budget = BudgetOf(customer, now);
+  if (customer_budget.retries < 1 || !TrySpendFromService(now)) {
     return false;
   }
-  account.repeats -= 1;
+  customer_budget.retries -= 1;
   return true;
 }
 
-bool RetryBudget::TrySpendOfService(TimePoint now) {
+bool RetryBudget::TrySpendFromService(TimePoint now) {
   if (options_.fleet_slack > 0) {
-    window_.SetShare(options_.fleet_slack * kSlackUsed / fleet_.Count(now));
+    window_.SetShare(options_.fleet_slack * kAllocatedSlack /
+                     fleet_.Count(now));
     return window_.TrySpend(now);
   }
   Refill(service_, now);
-  if (service_.repeats < 1) {
+  if (service_.retries < 1) {
     return false;
   }
-  service_.repeats -= 1;
+  service_.retries -= 1;
   return true;
 }
 
--- a/policy/returning_caller_detector.cc
+++ b/policy/returning_caller_detector.cc
@@ -6,26 +6,28 @@
 
 namespace {
 
-// After which an earlier longest time is forgotten; a route has its first
-// callers many times within it.
-constexpr Duration kSpan = std::chrono::seconds(20);
-// Whoever was refused has lost more than this: two ways, and the least time
-// that is told before a return.
-constexpr Duration kLostByReturn = std::chrono::milliseconds(10);
-// Routes that are remembered; all are forgotten beyond.
-constexpr std::size_t kMostRoutes = 4096;
+// Time after which an earlier maximum is forgotten. Each route receives
+// first-time callers many times within it.
+constexpr Duration kObservationPeriod = std::chrono::seconds(20);
+// A refused caller has lost more than this: two network round trips, and the
+// shortest retry delay that it is told.
+constexpr Duration kMinTimeLostByRetry = std::chrono::milliseconds(10);
+// Limit on the remembered routes; beyond it, all are forgotten.
+constexpr std::size_t kMaxRoutes = 4096;
 
 }  // namespace
 
-void ReturningCallerDetector::Note(const CustomerId& route,
-                                   Duration asked,
-                                   TimePoint now) {
-  if (longest_.size() >= kMostRoutes && !longest_.contains(route)) {
-    longest_.clear();
+void ReturningCallerDetector::Record(const CustomerId& route,
+                                     Duration asked,
+                                     TimePoint now) {
+  if (max_allowances_.size() >= kMaxRoutes &&
+      !max_allowances_.contains(route)) {
+    max_allowances_.clear();
   }
-  Longest& it = longest_[route];
-  if (now - it.since >= kSpan) {
-    it.before = now - it.since < 2 * kSpan ? it.now : Duration::zero();
+  MaxAllowance& it = max_allowances_[route];
+  if (now - it.since >= kObservationPeriod) {
+    it.before =
+        now - it.since < 2 * kObservationPeriod ? it.now : Duration::zero();
     it.now = Duration::zero();
     it.since = now;
   }
@@ -34,9 +36,10 @@
 
 bool ReturningCallerDetector::IsReturning(const CustomerId& route,
                                           Duration asked) const {
-  const auto it = longest_.find(route);
-  return it != longest_.end() &&
-         asked + kLostByReturn < std::max(it->second.now, it->second.before);
+  const auto it = max_allowances_.find(route);
+  return it != max_allowances_.end() &&
+         asked + kMinTimeLostByRetry <
+             std::max(it->second.now, it->second.before);
 }
 
 }  // namespace damasktack
--- a/policy/service_balancer.cc
+++ b/policy/service_balancer.cc
@@ -12,7 +12,7 @@
   return static_cast<std::size_t>(urgency);
 }
 
-AdmissionOptions AdmissionOf(const BalancerOptions& options) {
+AdmissionOptions AdmissionOptionsFrom(const BalancerOptions& options) {
   AdmissionOptions admission = options.admission;
   admission.max_waiting = static_cast<std::size_t>(options.max_waiting);
   return admission;
@@ -24,7 +24,7 @@
     : options_(std::move(options)),
       random_(seed),
       table_(options_.table),
-      queue_(AdmissionOf(options_)),
+      queue_(AdmissionOptionsFrom(options_)),
       reservation_(options_.reservation),
       retries_(options_.retries) {}
 
@@ -50,13 +50,13 @@
     out.rejections.push_back({token, Refusal::kNoEndpoint});
     return;
   }
-  if (now + LeastServiceTime(urgency) >= call.offer.deadline) {
+  if (now + MinServiceTime(urgency) >= call.offer.deadline) {
     service_times_[Index(urgency)].OnRefusal();
     out.rejections.push_back({token, Refusal::kDeadline});
     return;
   }
   if (HasPrecedence(urgency)) {
-    if (const auto endpoint = PickFor(call, false, now)) {
+    if (const auto endpoint = ChooseEndpoint(call, false, now)) {
       queue_.OnDirectDispatch(urgency);
       Send(call, *endpoint, now, out);
       return;
@@ -66,7 +66,7 @@
     last_served_[Index(urgency)] = now;
   }
   queue_.Add(std::move(call), out.rejections);
-  Pump(now, out);
+  ProcessQueue(now, out);
   if (overload_policy == OverloadPolicy::kShed && queue_.Remove(token)) {
     out.rejections.push_back({token, Refusal::kShed});
   }
@@ -99,23 +99,23 @@
   Learn(offer, end);
   retries_.OnSendEnd(end.result);
   if (!MayRetry(offer, end, now)) {
-    Pump(now, out);
+    ProcessQueue(now, out);
     return AfterSend::kDone;
   }
   Admit(WaitingCall{offer, end.endpoint}, now, out);
-  Pump(now, out);
+  ProcessQueue(now, out);
   return AfterSend::kRetry;
 }
 
 void ServiceBalancer::Learn(const CallOffer& offer, const SendEnd& end) {
-  // Failures and sheds are often quick; they would make the service look
-  // faster than it is.
+  // Failures and sheds are often fast and would make the service look faster
+  // than it is.
   if (end.result != SendResult::kAnswered) {
     return;
   }
   service_times_[Index(offer.urgency)].Learn(end.took);
   const Duration execution =
-      execution_time_.Of(end.took, RoundTripTo(end.endpoint), end.report);
+      execution_time_.Estimate(end.took, RoundTripTo(end.endpoint), end.report);
   queue_.Learn(offer.urgency, offer.customer, execution);
 }
 
@@ -130,8 +130,8 @@
   if (!MaySendAgain(end.result, offer.idempotent) || end.is_suspected) {
     return false;
   }
-  // A hop that is further from the failure would multiply what the nearest
-  // one does: three sends at each of ten hops are 59,049.
+  // A hop further from the failure would multiply the retries of the nearest
+  // hop: three sends at each of ten hops make 59,049.
   if (end.retried_downstream || offer.is_repeat) {
     return false;
   }
@@ -140,12 +140,12 @@
           ? std::min(offer.attempt_limit, options_.attempt_limit)
           : options_.attempt_limit;
   if (end.sends >= attempt_limit ||
-      now + LeastServiceTime(offer.urgency) >= offer.deadline) {
+      now + MinServiceTime(offer.urgency) >= offer.deadline) {
     return false;
   }
-  // Each hop spends its budget on what fails behind the next one, where the
-  // services between do not pass the outcome on: 1.1 times at each of ten
-  // hops are 2.6 times.
+  // If the services in between do not pass the outcome on, each hop spends its
+  // budget on failures behind the next one: 1.1 times at each of ten hops make
+  // 2.6 times.
   if (retries_.IsFutile(end.result) ||
       !retries_.TrySpend(offer.customer, offer.retry_percent, now)) {
     ++retries_withheld_;
@@ -160,19 +160,19 @@
                              TimePoint now,
                              Decisions& out) {
   table_.OnReport(endpoint, report, now);
-  Pump(now, out);
+  ProcessQueue(now, out);
 }
 
 void ServiceBalancer::OnPeerDrain(const EndpointId& id, TimePoint now) {
-  table_.OnHeardDrain(id, now);
+  table_.OnPeerDrain(id, now);
 }
 
 void ServiceBalancer::Tick(TimePoint now, Decisions& out) {
   UpdateUnusableSince(now);
-  Pump(now, out);
+  ProcessQueue(now, out);
 }
 
-void ServiceBalancer::Pump(TimePoint now, Decisions& out) {
+void ServiceBalancer::ProcessQueue(TimePoint now, Decisions& out) {
   if (queue_.empty()) {
     return;
   }
@@ -191,7 +191,7 @@
   }
   ServiceTimes least;
   for (std::size_t n = 0; n < kUrgencyCount; ++n) {
-    least[n] = LeastServiceTime(static_cast<Urgency>(n));
+    least[n] = MinServiceTime(static_cast<Urgency>(n));
   }
   const std::size_t before = out.rejections.size();
   queue_.Expire(now, least, out.rejections);
@@ -209,9 +209,9 @@
     if (queue_.Waiting(urgency) == 0) {
       continue;
     }
-    const Duration pause = reservation_.MaxDispatchInterval(
+    const Duration max_interval = reservation_.MaxDispatchInterval(
         urgency, table_.UsableSlots(now), service_times_[n].Mean(), hosts_);
-    if (now - last_served_[n] >= pause) {
+    if (now - last_served_[n] >= max_interval) {
       queue_.GrantCredit(urgency);
     }
   }
@@ -219,8 +219,9 @@
 
 bool ServiceBalancer::SendNext(TimePoint now, Decisions& out) {
   for (const Urgency urgency : queue_.Order()) {
-    const bool owed = queue_.HasCredit(urgency);
-    const auto endpoint = PickFor(*queue_.Head(urgency), owed, now);
+    const bool has_credit = queue_.HasCredit(urgency);
+    const auto endpoint =
+        ChooseEndpoint(*queue_.Head(urgency), has_credit, now);
     if (endpoint) {
       Send(queue_.Take(urgency), *endpoint, now, out);
       return true;
@@ -230,9 +231,9 @@
 }
 
 bool ServiceBalancer::SendDespiteLoad(TimePoint now, Decisions& out) {
-  // Where every report lies high or stays frozen, each host would wait for an
-  // answer that only a send can bring. One send for each host and pause is
-  // too little to harm an endpoint that really is full.
+  // If every report is high or frozen, each host would wait for an answer that
+  // only a send can bring. One send per host and interval is too little to harm
+  // an endpoint that really is full.
   if (queue_.empty() || in_flight_ > 0 ||
       now - last_send_ < options_.forced_send_interval) {
     return false;
@@ -248,17 +249,18 @@
   return true;
 }
 
-std::optional<EndpointIndex> ServiceBalancer::PickFor(const WaitingCall& call,
-                                                      bool owed,
-                                                      TimePoint now) {
+std::optional<EndpointIndex> ServiceBalancer::ChooseEndpoint(
+    const WaitingCall& call,
+    bool has_credit,
+    TimePoint now) {
   const Urgency urgency = call.offer.urgency;
-  if (!owed && urgency != Urgency::kUrgent) {
+  if (!has_credit && urgency != Urgency::kUrgent) {
     const SlotView slots{table_.FreeSlots(now), table_.UsableSlots(now)};
     if (!reservation_.Allows(urgency, slots)) {
       return std::nullopt;
     }
   }
-  const PickRequest request{urgency, reservation_.MaxLoad(urgency, owed),
+  const PickRequest request{urgency, reservation_.MaxLoad(urgency, has_credit),
                             call.avoid};
   return table_.Pick(request, now, random_);
 }
@@ -278,7 +280,7 @@
   out.dispatches.push_back({call.offer.token, endpoint});
 }
 
-Duration ServiceBalancer::LeastServiceTime(Urgency urgency) const {
+Duration ServiceBalancer::MinServiceTime(Urgency urgency) const {
   return std::min(table_.TypicalServiceTime(),
                   service_times_[Index(urgency)].Least());
 }
@@ -291,14 +293,15 @@
   }
 }
 
-// Also where it is known that no endpoint takes a call for longer than calls
-// wait for one.
+// Also true if the stated limits keep every endpoint from accepting a call for
+// longer than calls wait for one.
 bool ServiceBalancer::HasEndpointTimeoutPassed(TimePoint now) const {
-  const TimePoint patience_ends = now + options_.no_endpoint_timeout;
-  const auto opens_at = table_.AvailableAt(now, patience_ends);
-  const bool is_shut = opens_at && *opens_at >= patience_ends;
-  return is_shut || (unusable_since_ &&
-                     now - *unusable_since_ >= options_.no_endpoint_timeout);
+  const TimePoint timeout_at = now + options_.no_endpoint_timeout;
+  const auto available_at = table_.AvailableAt(now, timeout_at);
+  const bool is_unavailable = available_at && *available_at >= timeout_at;
+  return is_unavailable ||
+         (unusable_since_ &&
+          now - *unusable_since_ >= options_.no_endpoint_timeout);
 }
 
 std::optional<EndpointIndex> ServiceBalancer::NextProbe(TimePoint now) {
--- a/policy/shared_rate.cc
+++ b/policy/shared_rate.cc
@@ -12,13 +12,13 @@
 
 namespace {
 
-// Pieces of a window at most: shorter ones would have no length.
-constexpr double kMostPieces = 1e6;
+// Limit on the pieces of a window: with more, their length would round to zero.
+constexpr double kMaxPieces = 1e6;
 
 }  // namespace
 
 SharedRate::Piece SharedRate::PieceOf(double share) {
-  const double pieces = std::clamp(std::ceil(share), 1.0, kMostPieces);
+  const double pieces = std::clamp(std::ceil(share), 1.0, kMaxPieces);
   return {Scaled(kWindow, 1 / pieces), share / pieces};
 }
 
@@ -29,7 +29,7 @@
          piece.length.count();
 }
 
-bool SharedRate::IsDrawn(const Piece& piece, std::int64_t number) const {
+bool SharedRate::HasRequest(const Piece& piece, std::int64_t number) const {
   const std::uint64_t drawn =
       XXH3_64bits_withSeed(&number, sizeof(number), seed_);
   constexpr auto kWhole =
@@ -40,7 +40,7 @@
 bool SharedRate::Allows(double share, TimePoint now) const {
   const Piece piece = PieceOf(share);
   return now - last_send_ >= piece.length &&
-         IsDrawn(piece, NumberOf(piece, now));
+         HasRequest(piece, NumberOf(piece, now));
 }
 
 TimePoint SharedRate::NextAllowed(double share,
--- a/policy/stale_report_detector.cc
+++ b/policy/stale_report_detector.cc
@@ -6,15 +6,15 @@
 
 namespace {
 
-// What one more pair counts: under a second's worth of reports at a service
-// that is in use, and enough of them to tell a fifth from chance.
+// Weight of a new pair. The average then covers less than a second of reports
+// at a service in use, and enough of them to tell a fifth from chance.
 constexpr double kSampleWeight = 1.0 / 128;
-// Between what fresh reports show at a busy service and what ones that are
-// renewed a few times a second show.
-constexpr double kMostRepeated = 0.2;
-// Where nearly all endpoints report alike, as in an idle service, a chance
-// difference must not be divided by next to nothing.
-constexpr double kLeastUnlike = 0.1;
+// Maximum fraction of repeated reports: between the value of fresh reports at a
+// busy service and the value of reports that are renewed a few times a second.
+constexpr double kMaxRepeatedFraction = 0.2;
+// Lower bound of the divisor: if nearly all endpoints report the same, as in an
+// idle service, a random difference would be divided by almost zero.
+constexpr double kMinUnequalFraction = 0.1;
 
 void Learn(double& part, bool alike) {
   part += kSampleWeight * ((alike ? 1.0 : 0.0) - part);
@@ -22,26 +22,26 @@
 
 }  // namespace
 
-// Reports closer together than an execution are left out: a fresh one may
-// well repeat the last, as nothing may have happened in between.
+// Reports less than one execution apart are ignored: nothing may have happened
+// in between, so a fresh report may well equal the previous one.
 void StaleReportDetector::OnReport(const ReportPair& pair, Duration execution) {
   if (pair.apart >= execution) {
-    Learn(like_same_, pair.calls == pair.calls_before);
+    Learn(equal_to_previous_, pair.calls == pair.calls_before);
   }
   if (last_endpoint_ && last_endpoint_ != pair.endpoint) {
-    Learn(like_other_, pair.calls == last_calls_);
+    Learn(equal_to_other_, pair.calls == last_calls_);
   }
   last_endpoint_ = pair.endpoint;
   last_calls_ = pair.calls;
 }
 
-double StaleReportDetector::RepeatedPart() const {
-  const double unlike = std::max(1 - like_other_, kLeastUnlike);
-  return std::clamp((like_same_ - like_other_) / unlike, 0.0, 1.0);
+double StaleReportDetector::RepeatedFraction() const {
+  const double unlike = std::max(1 - equal_to_other_, kMinUnequalFraction);
+  return std::clamp((equal_to_previous_ - equal_to_other_) / unlike, 0.0, 1.0);
 }
 
 bool StaleReportDetector::IsTrusted() const {
-  return RepeatedPart() <= kMostRepeated;
+  return RepeatedFraction() <= kMaxRepeatedFraction;
 }
 
 }  // namespace damasktack
--- a/tests/policy/naive_admission_queue.h
+++ b/tests/policy/naive_admission_queue.h
@@ -10,8 +10,8 @@
 
 namespace damasktack {
 
-// The same decisions as AdmissionQueue by looking through one vector each
-// time: slow and plain, for comparison.
+// Reference implementation that makes the same decisions as AdmissionQueue by
+// scanning a single vector: slow and simple, for comparison.
 class NaiveAdmissionQueue {
  public:
   explicit NaiveAdmissionQueue(AdmissionOptions options) : options_(options) {}
@@ -54,12 +54,13 @@
     return true;
   }
 
-  // Token of the call that Take would return; the class must not be empty.
+  // Returns the token of the call that Take would return; the class must not be
+  // empty.
   CallToken Head(Urgency urgency) {
     const CallOffer* best = nullptr;
     for (const WaitingCall& it : calls_) {
       if (it.offer.urgency == urgency &&
-          (best == nullptr || GoesBefore(it.offer, *best))) {
+          (best == nullptr || Precedes(it.offer, *best))) {
         best = &it.offer;
       }
     }
@@ -107,8 +108,8 @@
     const double sample =
         std::chrono::duration<double, std::milli>(took).count();
     Class& urgency_class = ClassOf(urgency);
-    Blend(urgency_class.mean_cost, sample);
-    Blend(urgency_class.costs[customer], sample);
+    UpdateMean(urgency_class.mean_cost, sample);
+    UpdateMean(urgency_class.costs[customer], sample);
   }
 
   std::size_t size() const { return calls_.size(); }
@@ -130,7 +131,7 @@
     std::uint64_t next_order = 0;
   };
 
-  static void Blend(double& mean, double sample) {
+  static void UpdateMean(double& mean, double sample) {
     mean = mean == 0 ? sample : mean + (sample - mean) / 16;
   }
   Class& ClassOf(Urgency urgency) {
@@ -146,13 +147,13 @@
       return it.urgency == urgency && it.customer == customer;
     });
   }
-  bool GoesBefore(const CallOffer& a, const CallOffer& b) {
+  bool Precedes(const CallOffer& a, const CallOffer& b) {
     const Flow& of_a = ClassOf(a.urgency).flows[a.customer];
     const Flow& of_b = ClassOf(b.urgency).flows[b.customer];
     return std::tie(of_a.tag, of_a.order, a.arrival, a.token) <
            std::tie(of_b.tag, of_b.order, b.arrival, b.token);
   }
-  // The least urgent, then latest, of those that `predicate` takes.
+  // Returns the least urgent, then latest, call that satisfies `predicate`.
   template <typename Predicate>
   const CallOffer* Latest(Predicate predicate) const {
     const CallOffer* latest = nullptr;
--- a/tests/policy/test_admission_queue.cc
+++ b/tests/policy/test_admission_queue.cc
@@ -30,7 +30,7 @@
 enum class Step : std::uint8_t { kAdd, kRemove, kTake, kExpire, kLearn };
 
 // Mostly one urgency, so that its queue lives long enough for the customers'
-// virtual times to part.
+// virtual times to diverge.
 Urgency RandomUrgency() {
   return *rc::gen::weightedElement<Urgency>(
       {{1, Urgency::kUrgent}, {1, Urgency::kNormal}, {6, Urgency::kBulk}});
@@ -47,7 +47,7 @@
   return call;
 }
 
-TEST_CASE("the queue decides as the naive one, and names each call once") {
+TEST_CASE("the queue matches the naive one and reports each call once") {
   const bool held = rc::check([] {
     AdmissionOptions options;
     options.max_waiting = *rc::gen::element<std::size_t>(4, 8, 60);
@@ -55,11 +55,11 @@
     NaiveAdmissionQueue naive(options);
     std::set<CallToken> inside;
     std::vector<Rejection> refused;
-    std::vector<Rejection> naively_refused;
+    std::vector<Rejection> refused_by_naive;
     const int steps = *rc::gen::inRange(1, 300);
     for (int n = 0; n < steps; ++n) {
       refused.clear();
-      naively_refused.clear();
+      refused_by_naive.clear();
       const auto token = static_cast<CallToken>(n);
       const Urgency urgency = RandomUrgency();
       switch (*rc::gen::weightedElement<Step>({{8, Step::kAdd},
@@ -71,7 +71,7 @@
           const WaitingCall call = RandomCall(token);
           inside.insert(token);
           queue.Add(call, refused);
-          naive.Add(call, naively_refused);
+          naive.Add(call, refused_by_naive);
           break;
         }
         case Step::kRemove: {
@@ -94,7 +94,7 @@
           const ServiceTimes least = {milliseconds(0), milliseconds(2),
                                       milliseconds(9)};
           queue.Expire(now, least, refused);
-          naive.Expire(now, least, naively_refused);
+          naive.Expire(now, least, refused_by_naive);
           break;
         }
         case Step::kLearn: {
@@ -105,7 +105,7 @@
           break;
         }
       }
-      RC_ASSERT(refused == naively_refused);
+      RC_ASSERT(refused == refused_by_naive);
       for (const Rejection& it : refused) {
         RC_ASSERT(inside.erase(it.token) == 1U);
       }
@@ -116,9 +116,9 @@
   CHECK(held);
 }
 
-TEST_CASE("shares hold within one call, whatever calls of a customer cost") {
-  // A customer with many or long calls takes what its neighbours paid for:
-  // they hear "deadline" though they sent little. The queue charges slot time.
+TEST_CASE("shares hold within one call for any cost of a customer's calls") {
+  // Guards against a customer with many or long calls that uses the shares of
+  // others, whose calls then miss their deadlines. The queue charges slot time.
   const bool held = rc::check([] {
     AdmissionQueue queue(AdmissionOptions{});
     const std::vector<std::int64_t> shares = {1, 2, 5};
@@ -154,9 +154,10 @@
   CHECK(held);
 }
 
-TEST_CASE("bulk gets its floor while urgent calls never end") {
-  // The council report hears "deadline" every night: each time a slot frees,
-  // another urgent call is there. The floor gives it one dispatch in twenty.
+TEST_CASE("bulk gets its minimum share under continuous urgent load") {
+  // Guards against bulk calls that miss every deadline because another urgent
+  // call is there each time a slot becomes free. The minimum share gives bulk
+  // one dispatch in twenty.
   AdmissionQueue queue(AdmissionOptions{});
   std::vector<Rejection> refused;
   int bulk = 0;
@@ -170,7 +171,7 @@
   CHECK(bulk <= 55);
 }
 
-TEST_CASE("a customer's own bulk makes room for its urgent call") {
+TEST_CASE("a customer's own bulk call is evicted for its urgent call") {
   AdmissionQueue queue(AdmissionOptions{});
   std::vector<Rejection> refused;
   for (CallToken token = 1; token <= 4; ++token) {
@@ -186,7 +187,7 @@
   CHECK(queue.Contains(9));
 }
 
-TEST_CASE("a call that comes again goes before later ones of its customer") {
+TEST_CASE("a retried call precedes later calls of its customer") {
   AdmissionQueue queue(AdmissionOptions{});
   std::vector<Rejection> refused;
   queue.Add(Call(1, "park", Urgency::kNormal), refused);
--- a/tests/policy/test_call_outcome.cc
+++ b/tests/policy/test_call_outcome.cc
@@ -13,8 +13,8 @@
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
 
-// What happens to one send on its way, drawn by the schedule.
-enum class Fate : std::uint8_t {
+// What happens to one send, chosen by the schedule.
+enum class SendScenario : std::uint8_t {
   kConnectRefused,
   kConnectTimesOut,
   kWriteFailsAtOnce,
@@ -29,42 +29,42 @@
   kCancelledRunning,
   kCancelledConnecting,
 };
-constexpr int kFates = 13;
+constexpr int kScenarioCount = 13;
 
-// An endpoint that decides itself whether it ran the call, and what of it the
-// sender gets to see.
+// An endpoint that determines whether it runs the call, and what the sender
+// observes of it.
 struct FakeEndpoint {
   int executions = 0;
 
-  SendResult Take(Fate fate, CallOutcome& call) {
-    switch (fate) {
-      case Fate::kConnectRefused:
-      case Fate::kConnectTimesOut:
-      case Fate::kWriteFailsAtOnce:
-      case Fate::kCancelledConnecting:
+  SendResult Take(SendScenario scenario, CallOutcome& call) {
+    switch (scenario) {
+      case SendScenario::kConnectRefused:
+      case SendScenario::kConnectTimesOut:
+      case SendScenario::kWriteFailsAtOnce:
+      case SendScenario::kCancelledConnecting:
         return SendResult::kNotConnected;
-      case Fate::kCutWhileWriting:
-      case Fate::kCutBeforeRun:
+      case SendScenario::kCutWhileWriting:
+      case SendScenario::kCutBeforeRun:
         call.OnWrote();
         return SendResult::kBroken;
-      case Fate::kCutAfterRun:
+      case SendScenario::kCutAfterRun:
         ++executions;
         return SendResult::kBroken;
-      case Fate::kAnswered:
+      case SendScenario::kAnswered:
         ++executions;
         return SendResult::kAnswered;
-      case Fate::kErrorAnswer:
+      case SendScenario::kErrorAnswer:
         call.OnWrote();
         ++executions;
         return SendResult::kFailed;
-      case Fate::kShed:
+      case SendScenario::kShed:
         return SendResult::kShed;
-      case Fate::kTimedOutRunning:
+      case SendScenario::kTimedOutRunning:
         ++executions;
         return SendResult::kTimedOut;
-      case Fate::kTimedOutBeforeRun:
+      case SendScenario::kTimedOutBeforeRun:
         return SendResult::kTimedOut;
-      case Fate::kCancelledRunning:
+      case SendScenario::kCancelledRunning:
         call.OnWrote();
         ++executions;
         return SendResult::kCancelled;
@@ -86,7 +86,8 @@
   return service;
 }
 
-// One call with its schedule, from its offer to what its caller hears.
+// Runs one call through a random schedule, from its offer to the outcome
+// reported to its caller.
 class Schedule {
  public:
   explicit Schedule(bool idempotent) : outcome_(idempotent), balancer_({}, 7) {
@@ -98,7 +99,7 @@
     offer_.retry_percent = 100;
     offer_.arrival = now_;
     offer_.deadline = now_ + std::chrono::seconds(2);
-    // Earlier sends of the customer leave repeats to spend.
+    // Earlier sends of the customer earn a budget for retries.
     for (CallToken token = 100; token < 110; ++token) {
       CallOffer earlier = offer_;
       earlier.token = token;
@@ -165,8 +166,9 @@
     decisions_.clear();
     outcome_.OnPlaced();
     ++sends_;
-    const auto fate = static_cast<Fate>(*rc::gen::inRange(0, kFates));
-    const SendResult result = endpoint_.Take(fate, outcome_);
+    const auto scenario =
+        static_cast<SendScenario>(*rc::gen::inRange(0, kScenarioCount));
+    const SendResult result = endpoint_.Take(scenario, outcome_);
     outcome_.OnSendEnd(result);
     SendEnd end{offer_.token, dispatch.endpoint, result, milliseconds(1), {}};
     end.sends = sends_;
@@ -191,16 +193,19 @@
   bool over_ = false;
 };
 
-TEST_CASE("the charts of calls and endpoints are walked") {
+TEST_CASE("the embedded charts match their files") {
   CheckAllTransitions("policy/charts/call.json", CallChartText(),
                       GetCallChart());
   CHECK(ReadSourceFile("policy/charts/endpoint.json") == EndpointChartText());
 }
 
-TEST_CASE("a renewal runs once at most, and not-run is never said of one") {
-  // A plant pays twice, or is told "not run" and files again: a connection is
-  // cut after the bytes went out and the sender takes it for never sent. Only
-  // a refused connection, no byte written, or the endpoint's own word counts.
+TEST_CASE(
+    "a non-idempotent call runs at most once, and not-run is never false") {
+  // Guards against a double execution, or a false "not-run" after which the
+  // caller sends the call again. This would happen if a connection that is cut
+  // after the bytes were sent counted as never used. Only a refused connection,
+  // no byte written, or the endpoint's own answer proves that the call did not
+  // run.
   int runs = 0;
   int resent = 0;
   const bool held = rc::check([&] {
@@ -215,14 +220,14 @@
     resent += schedule.sends() > 1 ? 1 : 0;
   });
   CHECK(held);
-  // The property says nothing where no schedule ran or repeated a call.
+  // The property is vacuous if no schedule ran a call or sent one again.
   CHECK(runs > 10);
   CHECK(resent > 5);
 }
 
-TEST_CASE("a lookup may run twice, and not-run is never said of one that ran") {
-  // An inspector's lookup is sent again after a cut, the second send is
-  // refused by its deadline: it may have run, so the caller hears "unknown".
+TEST_CASE("an idempotent call may run twice, and not-run is never false") {
+  // A lookup is sent again after a cut, and the second send is refused because
+  // of its deadline: the first may have run, so the outcome is "unknown".
   int twice = 0;
   const bool held = rc::check([&] {
     Schedule schedule(true);
@@ -235,7 +240,7 @@
   CHECK(twice > 0);
 }
 
-TEST_CASE("a step that the chart does not know never leads to not-run") {
+TEST_CASE("a step that the chart does not define never leads to not-run") {
   const bool held = rc::check([] {
     CallOutcome call(*rc::gen::arbitrary<bool>());
     bool ran = false;
--- a/tests/policy/test_cold_allowance.cc
+++ b/tests/policy/test_cold_allowance.cc
@@ -18,13 +18,13 @@
 using std::chrono::seconds;
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
-// So many slots never bound the calls of a second.
+// Enough slots not to limit the calls of a second.
 constexpr double kSlots = 100;
 constexpr ColdBoundOptions kBound = {1.5, 8};
 
-// The most calls within any second, where each host sends whenever it may, and
-// finds the endpoint idle whenever it looks.
-std::size_t WorstSecond(int hosts, double rate, Duration length) {
+// Returns the maximum number of calls within any second, if each host sends
+// whenever it may and always finds the endpoint idle.
+std::size_t MaxCallsPerSecond(int hosts, double rate, Duration length) {
   ServiceSpec service;
   service.cold_rate = rate;
   service.endpoints.resize(1);
@@ -55,23 +55,23 @@
   return worst;
 }
 
-// An endpoint crashes while its caches fill: hosts that cannot see each other
-// send it more than it tolerates. However many they are, and although each of
-// them has calls all the time, no second has more than half as much again as
-// the rate, and eight.
-TEST_CASE("hosts that always have calls keep to a cold endpoint's rate") {
+// Guards against the crash of an endpoint while its caches fill, because hosts
+// that do not see each other send it more than it tolerates. For any number of
+// hosts that always have calls, no second has more than 1.5 times the rate plus
+// eight calls.
+TEST_CASE("hosts that always have calls keep to the rate of a cold endpoint") {
   CHECK(rc::check("rates", [] {
     const int hosts = *rc::gen::inRange(1, 473);
     const double rate = *rc::gen::inRange(1, 40);
-    const std::size_t worst = WorstSecond(hosts, rate, seconds(8));
+    const std::size_t worst = MaxCallsPerSecond(hosts, rate, seconds(8));
     RC_ASSERT(static_cast<double>(worst) <= rate * 1.5 + 8);
   }));
 }
 
-// Hosts that share an endpoint which is cold all the time.
-class SeatedFleet {
+// Hosts that share an endpoint that is always cold.
+class NumberedFleet {
  public:
-  SeatedFleet(int hosts, double rate, const std::string& endpoint) {
+  NumberedFleet(int hosts, double rate, const std::string& endpoint) {
     ServiceSpec service;
     service.cold_rate = rate;
     service.endpoints.resize(1);
@@ -85,10 +85,10 @@
   }
 
   std::size_t size() const { return hosts_.size(); }
-  void SetHostNumber(std::size_t host, const HostNumber& seat) {
-    hosts_[host].SetHostNumber(seat);
+  void SetHostNumber(std::size_t host, const HostNumber& host_number) {
+    hosts_[host].SetHostNumber(host_number);
   }
-  // Whether the host sends, which it does whenever it may.
+  // Returns whether the host sends, which it does whenever it may.
   bool Send(std::size_t host, TimePoint now) {
     const ColdObservation free{0, true, kSlots - 1, kSlots};
     if (!hosts_[host].CanAcceptCall(free, now)) {
@@ -102,7 +102,7 @@
   std::vector<ColdEndpoints> hosts_;
 };
 
-std::size_t MostWithinASecond(std::vector<TimePoint> arrivals) {
+std::size_t MaxWithinOneSecond(std::vector<TimePoint> arrivals) {
   std::ranges::sort(arrivals);
   std::size_t worst = 0;
   std::size_t first = 0;
@@ -115,42 +115,44 @@
   return worst;
 }
 
-// Guards against a flood by hosts whose reports always show a free slot, some
-// of which have a seat that another has now, or differ in how many there are.
-TEST_CASE("hosts with seats keep to a cold endpoint's bound") {
+// Guards against hosts that send too many calls because their reports always
+// show a free slot, while some of them use a host number that was reassigned or
+// disagree on the count of numbers.
+TEST_CASE("hosts with host numbers keep to the limit of a cold endpoint") {
   CHECK(rc::check("seats", [] {
     const int hosts = *rc::gen::inRange(1, 300);
     const double rate = *rc::gen::inRange(1, 40);
-    const bool differ_in_seats = *rc::gen::arbitrary<bool>();
-    SeatedFleet fleet(hosts, rate,
-                      "e" + std::to_string(*rc::gen::inRange(0, 1000)));
-    const int more_seats = *rc::gen::inRange(0, hosts + 1);
+    const bool differ_in_count = *rc::gen::arbitrary<bool>();
+    NumberedFleet fleet(hosts, rate,
+                        "e" + std::to_string(*rc::gen::inRange(0, 1000)));
+    const int extra_numbers = *rc::gen::inRange(0, hosts + 1);
     for (int n = 0; n < hosts; ++n) {
-      const HostNumber seat =
-          differ_in_seats
-              ? HostNumber{n, n % 2 == 0 ? hosts : hosts + more_seats}
+      const HostNumber host_number =
+          differ_in_count
+              ? HostNumber{n, n % 2 == 0 ? hosts : hosts + extra_numbers}
               : HostNumber{n / 2, (hosts + 1) / 2};
-      fleet.SetHostNumber(static_cast<std::size_t>(n), seat);
+      fleet.SetHostNumber(static_cast<std::size_t>(n), host_number);
     }
-    const int most_way_ms = *rc::gen::inRange(0, 250);
+    const int max_transit_ms = *rc::gen::inRange(0, 250);
     std::mt19937 random(*rc::gen::arbitrary<unsigned>());
     std::vector<TimePoint> arrivals;
     for (TimePoint now = kStart; now < kStart + seconds(5);
          now += milliseconds(7)) {
       for (std::size_t n = 0; n < fleet.size(); ++n) {
         if (fleet.Send(n, now)) {
-          arrivals.push_back(now + milliseconds(random() % (most_way_ms + 1)));
+          arrivals.push_back(now +
+                             milliseconds(random() % (max_transit_ms + 1)));
         }
       }
     }
-    RC_ASSERT(static_cast<double>(MostWithinASecond(arrivals)) <=
+    RC_ASSERT(static_cast<double>(MaxWithinOneSecond(arrivals)) <=
               rate * kBound.overshoot + kBound.slack);
   }));
 }
 
-// Guards against seats that leave cold endpoints unused, so that calls are
-// refused that these would have served.
-TEST_CASE("hosts with seats use what cold endpoints tolerate") {
+// Guards against quotas that leave cold endpoints unused, so that calls are
+// refused that these endpoints could have served.
+TEST_CASE("hosts with host numbers use the rate that cold endpoints tolerate") {
   constexpr int kEndpoints = 60;
   constexpr int kSeconds = 10;
   constexpr double kRate = 2;
@@ -158,7 +160,7 @@
     CAPTURE(hosts);
     int sent = 0;
     for (int endpoint = 0; endpoint < kEndpoints; ++endpoint) {
-      SeatedFleet fleet(hosts, kRate, "e" + std::to_string(endpoint));
+      NumberedFleet fleet(hosts, kRate, "e" + std::to_string(endpoint));
       for (int n = 0; n < hosts; ++n) {
         fleet.SetHostNumber(static_cast<std::size_t>(n), {n, hosts});
       }
@@ -173,9 +175,9 @@
   }
 }
 
-// The room that endpoints have while they are cold stays unused: hosts save
-// their parts up or let them lapse together. Over a while they use all of it.
-TEST_CASE("together hosts may send what a cold endpoint tolerates") {
+// Guards against shares that are saved up or expire together, so that the rate
+// tolerated by cold endpoints stays unused. Over time the hosts use all of it.
+TEST_CASE("hosts together use the rate that a cold endpoint tolerates") {
   for (const int hosts : {1, 18, 111, 472}) {
     CAPTURE(hosts);
     std::uint64_t sent = 0;
@@ -195,7 +197,7 @@
   }
 }
 
-TEST_CASE("one that is warm takes calls whatever the share") {
+TEST_CASE("a warm endpoint takes calls under any share") {
   ColdAllowance allowance(7);
   CHECK(allowance.Allows(0, kStart));
   allowance.OnCold(ColdSource::kList, kStart + seconds(1), kStart);
--- a/tests/policy/test_endpoint_limits.cc
+++ b/tests/policy/test_endpoint_limits.cc
@@ -25,11 +25,12 @@
   return host;
 }
 
-// One endpoint with a limit and hosts that always have a call for it, of which
-// some start again, freeze, leave or lose their peers for a while.
-class LimitedPlay {
+// Simulates one endpoint with a limit and hosts that always have a call for it.
+// Some of the hosts restart, freeze, leave or lose contact with their peers for
+// a while.
+class LimitSimulation {
  public:
-  LimitedPlay(int hosts, double limit) : limit_(limit) {
+  LimitSimulation(int hosts, double limit) : limit_(limit) {
     for (int n = 0; n < hosts; ++n) {
       hosts_.push_back({MakeHost(Name(n), hosts, kStart), kStart});
     }
@@ -37,14 +38,14 @@
 
   void Restart(std::size_t n) {
     hosts_[n] = {MakeHost(Name(static_cast<int>(n)), 1, now_),
-                 now_ + kUntilInTouch};
-    hosts_[n].learns_at = now_ + milliseconds(500);
-    // Its peers tell it how many they are.
-    hosts_[n].cut_until = now_ + seconds(1);
+                 now_ + kReconnectTime};
+    hosts_[n].limit_known_at = now_ + milliseconds(500);
+    // Its peers tell it the size of the fleet.
+    hosts_[n].disconnected_until = now_ + seconds(1);
   }
   void Freeze(std::size_t n, Duration time) {
     hosts_[n].frozen_until = now_ + time;
-    hosts_[n].excused_until = now_ + time + kUntilInTouch;
+    hosts_[n].excused_until = now_ + time + kReconnectTime;
   }
   void Leave(std::size_t n) {
     hosts_[n].frozen_until = TimePoint::max();
@@ -53,10 +54,10 @@
           kEndpoints, static_cast<std::int64_t>(hosts_.size()) - 1, now_);
     }
   }
-  // The host has no peers for a while.
-  void Cut(std::size_t n, Duration time) {
+  // Disconnects the host from its peers for a while.
+  void Disconnect(std::size_t n, Duration time) {
     hosts_[n].restraints.SetService(kEndpoints, 1, now_);
-    hosts_[n].cut_until = now_ + time;
+    hosts_[n].disconnected_until = now_ + time;
   }
 
   void Run(Duration time) {
@@ -68,24 +69,24 @@
       while (!sends_.empty() && now_ - sends_.front() >= seconds(4)) {
         sends_.pop_front();
       }
-      worst_ = std::max(worst_, sends_.size());
+      peak_ = std::max(peak_, sends_.size());
     }
   }
 
-  // The most requests within four seconds, from hosts that are not excused.
-  std::size_t worst() const { return worst_; }
-  double most() const { return 1.5 * limit_ * 4 + 5; }
+  // Maximum of requests within four seconds, from hosts that are not excused.
+  std::size_t peak() const { return peak_; }
+  double max_requests() const { return 1.5 * limit_ * 4 + 5; }
 
  private:
-  static constexpr seconds kUntilInTouch{3};
+  static constexpr seconds kReconnectTime{3};
 
   struct Host {
     EndpointLimits restraints;
     TimePoint excused_until;
     TimePoint frozen_until = {};
-    TimePoint cut_until = {};
-    // When the answer to its first request tells it of the limit.
-    TimePoint learns_at = {};
+    TimePoint disconnected_until = {};
+    // Time at which the answer to its first request states the limit.
+    TimePoint limit_known_at = {};
     bool knows = false;
   };
 
@@ -95,12 +96,13 @@
     if (now_ < host.frozen_until) {
       return;
     }
-    if (host.cut_until != TimePoint() && now_ >= host.cut_until) {
-      host.cut_until = TimePoint();
+    if (host.disconnected_until != TimePoint() &&
+        now_ >= host.disconnected_until) {
+      host.disconnected_until = TimePoint();
       host.restraints.SetService(
           kEndpoints, static_cast<std::int64_t>(hosts_.size()), now_);
     }
-    if (!host.knows && now_ >= host.learns_at) {
+    if (!host.knows && now_ >= host.limit_known_at) {
       host.knows = true;
       host.restraints.OnAnswer(kEndpoint, {.rate_limit = limit_}, now_, now_);
     }
@@ -117,43 +119,45 @@
   TimePoint now_ = kStart;
   std::vector<Host> hosts_;
   std::deque<TimePoint> sends_;
-  std::size_t worst_ = 0;
+  std::size_t peak_ = 0;
 };
 
-// Guards against hosts that each take all of a stated limit, or save up unused
-// parts of it.
-TEST_CASE("hosts that know a limit together send no more than it allows") {
+// Guards against hosts that each use the whole of a stated limit, or save up
+// unused parts of it.
+TEST_CASE("hosts that know a limit stay within it together") {
   const bool ok = rc::check([] {
     const int hosts = *rc::gen::element(1, 3, 17, 124, 472);
     const double limit = *rc::gen::inRange(0, 60) / 10.0;
-    LimitedPlay play(hosts, limit);
-    play.Run(seconds(60));
-    RC_ASSERT(static_cast<double>(play.worst()) <= play.most());
+    LimitSimulation simulation(hosts, limit);
+    simulation.Run(seconds(60));
+    RC_ASSERT(static_cast<double>(simulation.peak()) <=
+              simulation.max_requests());
   });
   CHECK(ok);
 }
 
-// The same while hosts start again, freeze, leave or lose their peers.
-TEST_CASE("hosts that come and go together send no more than a limit allows") {
+// The same while hosts restart, freeze, leave or lose contact with their peers.
+TEST_CASE("hosts stay within a limit together while the fleet changes") {
   const bool ok = rc::check([] {
     const int hosts = *rc::gen::inRange(5, 60);
-    LimitedPlay play(hosts, *rc::gen::inRange(5, 60) / 10.0);
+    LimitSimulation simulation(hosts, *rc::gen::inRange(5, 60) / 10.0);
     const auto any =
         rc::gen::inRange<std::size_t>(0, static_cast<std::size_t>(hosts));
     for (int n = 0; n < 10; ++n) {
-      play.Run(milliseconds(*rc::gen::inRange(0, 4000)));
-      play.Restart(*any);
-      play.Freeze(*any, milliseconds(*rc::gen::inRange(100, 5000)));
-      play.Cut(*any, milliseconds(*rc::gen::inRange(100, 25'000)));
+      simulation.Run(milliseconds(*rc::gen::inRange(0, 4000)));
+      simulation.Restart(*any);
+      simulation.Freeze(*any, milliseconds(*rc::gen::inRange(100, 5000)));
+      simulation.Disconnect(*any, milliseconds(*rc::gen::inRange(100, 25'000)));
     }
-    play.Leave(*any);
-    play.Run(seconds(10));
-    RC_ASSERT(static_cast<double>(play.worst()) <= play.most());
+    simulation.Leave(*any);
+    simulation.Run(seconds(10));
+    RC_ASSERT(static_cast<double>(simulation.peak()) <=
+              simulation.max_requests());
   });
   CHECK(ok);
 }
 
-TEST_CASE("an answer without the limit takes it back") {
+TEST_CASE("an answer without the limit withdraws it") {
   EndpointLimits host = MakeHost("h", 1000, kStart);
   host.OnAnswer(kEndpoint, {.rate_limit = 1}, kStart, kStart + seconds(1));
   CHECK(host.rate_limit(kEndpoint) == 1);
@@ -162,26 +166,27 @@
   CHECK(host.CanAcceptCall(kEndpoint, kStart + seconds(3)));
 }
 
-// Guards against an answer that was under way when the endpoint began to state
+// Guards against an answer that was in flight when the endpoint began to state
 // its limit.
-TEST_CASE("an answer to an earlier request does not take the limit back") {
+TEST_CASE("an answer to an earlier request does not withdraw the limit") {
   EndpointLimits host = MakeHost("h", 1000, kStart);
   host.OnAnswer(kEndpoint, {.rate_limit = 1}, kStart, kStart + seconds(1));
   host.OnAnswer(kEndpoint, {}, kStart, kStart + seconds(2));
   CHECK(host.rate_limit(kEndpoint) == 1);
 }
 
-// A probe may be answered by another part of the endpoint than calls are.
-TEST_CASE("the answer to a probe states a limit and takes none back") {
+// A probe may be answered by a different component of the endpoint than calls
+// are.
+TEST_CASE("an answer to a probe can state a limit but not withdraw it") {
   EndpointLimits host = MakeHost("h", 1000, kStart);
   host.OnProbeAnswer(kEndpoint, {.rate_limit = 1}, kStart);
   host.OnProbeAnswer(kEndpoint, {}, kStart + seconds(1));
   CHECK(host.rate_limit(kEndpoint) == 1);
 }
 
-// Guards against an endpoint that is called again within the rest that it asked
-// for, whatever its other answers say.
-TEST_CASE("an endpoint that asked for rest gets nothing until it is over") {
+// Guards against requests to an endpoint within the pause that it asked for,
+// whatever its other answers state.
+TEST_CASE("an endpoint that asked for a pause gets no requests until it ends") {
   EndpointLimits host = MakeHost("h", 1, kStart);
   host.OnAnswer(kEndpoint, {.rest = seconds(3)}, kStart, kStart);
   host.OnAnswer(kEndpoint, {.rest = seconds(1)}, kStart, kStart);
@@ -195,17 +200,18 @@
         kStart + seconds(2));
 }
 
-TEST_CASE("after its rest an endpoint still has its limit") {
+TEST_CASE("an endpoint still has its limit after its pause") {
   EndpointLimits host = MakeHost("h", 1000, kStart);
   host.OnAnswer(kEndpoint, {.rate_limit = 0, .rest = seconds(3)}, kStart,
                 kStart);
   const TimePoint latest = kStart + seconds(60);
-  const TimePoint opens_at = host.AvailableAt(kEndpoint, kStart, latest);
-  CHECK(opens_at >= kStart + seconds(3));
-  CHECK((opens_at == latest || host.CanAcceptCall(kEndpoint, opens_at)));
+  const TimePoint available_at = host.AvailableAt(kEndpoint, kStart, latest);
+  CHECK(available_at >= kStart + seconds(3));
+  CHECK(
+      (available_at == latest || host.CanAcceptCall(kEndpoint, available_at)));
 }
 
-TEST_CASE("another process at the index has no limit and no rest") {
+TEST_CASE("a new process at the index has no limit and no pause") {
   EndpointLimits host = MakeHost("h", 1000, kStart);
   host.OnAnswer(kEndpoint, {.rate_limit = 1, .rest = seconds(9)}, kStart,
                 kStart);
@@ -214,13 +220,13 @@
   CHECK(host.CanAcceptCall(kEndpoint, kStart));
 }
 
-// Guards against an endpoint that is never asked again after it took nothing
-// for a while.
-TEST_CASE("an endpoint that takes nothing is asked now and then") {
-  LimitedPlay play(3, 0);
-  play.Run(seconds(120));
-  CHECK(play.worst() >= 1);
-  CHECK(static_cast<double>(play.worst()) <= play.most());
+// Guards against an endpoint that never receives a request again after a limit
+// of zero.
+TEST_CASE("an endpoint with a limit of zero still gets occasional requests") {
+  LimitSimulation simulation(3, 0);
+  simulation.Run(seconds(120));
+  CHECK(simulation.peak() >= 1);
+  CHECK(static_cast<double>(simulation.peak()) <= simulation.max_requests());
 }
 
 }  // namespace
--- a/tests/policy/test_endpoint_roster.cc
+++ b/tests/policy/test_endpoint_roster.cc
@@ -22,9 +22,9 @@
   return spec;
 }
 
-// Guards against a start that takes seconds: each endpoint of the first list
-// had all others counted anew.
-TEST_CASE("a list is counted once, however long it is") {
+// Guards against a start that takes seconds because each endpoint of the first
+// list caused a recount of all others.
+TEST_CASE("a list of any length causes one recount") {
   for (const std::size_t endpoints : {10UL, 3'000UL}) {
     EndpointRoster roster;
     for (std::size_t n = 0; n < endpoints; ++n) {
@@ -37,12 +37,12 @@
   }
 }
 
-std::size_t CountNaively(const EndpointRoster& roster, EndpointState state) {
+std::size_t CountByScan(const EndpointRoster& roster, EndpointState state) {
   return static_cast<std::size_t>(
       std::ranges::count(roster.records(), state, &EndpointRecord::state));
 }
 
-std::vector<EndpointIndex> UsableNaively(const EndpointRoster& roster) {
+std::vector<EndpointIndex> UsableByScan(const EndpointRoster& roster) {
   std::vector<EndpointIndex> usable;
   for (EndpointIndex n = 0; n < roster.records().size(); ++n) {
     if (TakesCalls(roster.records()[n].state)) {
@@ -52,8 +52,9 @@
   return usable;
 }
 
-// The lowest place that a new endpoint may take; the end without any.
-EndpointIndex FreePlaceNaively(const EndpointRoster& roster) {
+// Returns the lowest index that a new endpoint may take; the end if there is
+// none.
+EndpointIndex FreeIndexByScan(const EndpointRoster& roster) {
   const auto records = roster.records();
   const auto free = std::ranges::find_if(records, [](const EndpointRecord& it) {
     return it.state == EndpointState::kGone &&
@@ -62,8 +63,8 @@
   return static_cast<EndpointIndex>(free - records.begin());
 }
 
-// Guards against counts that drift from the records they were taken of.
-TEST_CASE("generated events: what is kept is what counting anew gives") {
+// Guards against totals that diverge from the records.
+TEST_CASE("totals match a recount after any sequence of events") {
   CHECK(rc::check("rosters", [] {
     EndpointRoster roster;
     TimePoint now = kStart;
@@ -75,7 +76,7 @@
       const auto index = static_cast<EndpointIndex>(
           size == 0 ? 0 : *rc::gen::inRange(0, size));
       if (kind <= 1) {
-        const EndpointIndex free = FreePlaceNaively(roster);
+        const EndpointIndex free = FreeIndexByScan(roster);
         RC_ASSERT(roster.Add(kind == 0, now) == free);
       } else if (kind == 2) {
         roster.OnUnlisted(index, now);
@@ -93,11 +94,11 @@
       roster.Advance(now);
       const std::vector<EndpointIndex> usable(roster.usable().begin(),
                                               roster.usable().end());
-      RC_ASSERT(usable == UsableNaively(roster));
+      RC_ASSERT(usable == UsableByScan(roster));
       const std::size_t live = roster.records().size() -
-                               CountNaively(roster, EndpointState::kDraining) -
-                               CountNaively(roster, EndpointState::kGone);
-      RC_ASSERT(CountNaively(roster, EndpointState::kEjected) <=
+                               CountByScan(roster, EndpointState::kDraining) -
+                               CountByScan(roster, EndpointState::kGone);
+      RC_ASSERT(CountByScan(roster, EndpointState::kEjected) <=
                 MaxEjected(live));
     }
   }));
