--- a/proxy/call_handler.cc
+++ b/proxy/call_handler.cc
@@ -19,15 +19,15 @@
 
 namespace {
 
-constexpr std::int64_t kDeepest = 32;
-constexpr std::chrono::milliseconds kLeastTimeToSend(1);
-// A host that has just started, or woke, is back within this time as a rule.
-constexpr std::chrono::milliseconds kUntilCurrent(150);
-// How often a call that waits for a starting host looks again.
-constexpr std::chrono::milliseconds kCurrentPoll(5);
-// The part of the caller's time that such a wait may take: enough is left to
-// try another host.
-constexpr int kPartForCurrent = 3;
+constexpr std::int64_t kMaxCallDepth = 32;
+constexpr std::chrono::milliseconds kMinTimeToSend(1);
+// A host that has just started or resumed is normally ready within this time.
+constexpr std::chrono::milliseconds kNotCurrentRetryAfter(150);
+// How often a call that waits for a starting host checks again.
+constexpr std::chrono::milliseconds kCurrentPollInterval(5);
+// Such a wait may take at most this fraction (1/n) of the caller's timeout, so
+// that enough time is left to try another host.
+constexpr int kCurrentWaitDivisor = 3;
 std::string MakeCallId() {
   thread_local Random random(std::random_device{}());
   std::array<char, 16> buf{};
@@ -40,49 +40,51 @@
   return target.substr(0, target.find('?'));
 }
 
-// Whether a damasktack nearer to the failure has answered this before.
-bool WentThroughAnotherHop(const ExchangeResult& sent,
-                           const ProtocolNames& names) {
+// Whether another damasktack, nearer to the failure, has already handled this
+// call and answered it.
+bool WasHandledByAnotherHop(const ExchangeResult& sent,
+                            const ProtocolNames& names) {
   return sent.answer && sent.answer->count(names.outcome) > 0;
 }
 
-// What the outcome of the call has to know: a send that ended before its first
-// byte left nothing behind, also where its caller or its deadline ended it.
-SendResult ForOutcome(const ExchangeResult& sent) {
+// Returns the result that counts for the call's outcome: a send that ended
+// before its first byte had no effect, even if the caller or the deadline ended
+// it.
+SendResult EffectiveResult(const ExchangeResult& sent) {
   return sent.wrote ? sent.result : SendResult::kNotConnected;
 }
 
-FailureKind FailureOf(const ExchangeResult& sent) {
+FailureKind FailureKindOf(const ExchangeResult& sent) {
   const bool is_late = !sent.wrote && sent.result == SendResult::kTimedOut;
-  return is_late ? FailureKind::kDeadline : KindOf(ForOutcome(sent));
+  return is_late ? FailureKind::kDeadline : KindOf(EffectiveResult(sent));
 }
 
-// The path that the contract's rules go by. Starts with '/', also where the
-// path is the service's prefix itself.
-std::string PathBelow(std::string_view prefix, std::string_view path) {
+// Returns the path that the contract's rules are matched against. Always starts
+// with '/', also if the path is the service's prefix itself.
+std::string PathAfterPrefix(std::string_view prefix, std::string_view path) {
   const std::string_view rest = path.substr(prefix.size());
   return rest.starts_with('/') ? std::string(rest) : "/" + std::string(rest);
 }
 
 }  // namespace
 
-struct CallHandler::Ending {
+struct CallHandler::CallResult {
   Outcome outcome = Outcome::kNotRun;
   std::optional<HttpResponse> answer;
-  // Counts where there is no answer.
+  // Only used without an answer.
   Failure failure;
 
-  static Ending NotRun(Failure failure) {
+  static CallResult NotRun(Failure failure) {
     return {Outcome::kNotRun, std::nullopt, std::move(failure)};
   }
-  static Ending Complete(HttpResponse answer) {
+  static CallResult Complete(HttpResponse answer) {
     return {Outcome::kComplete, std::move(answer), {}};
   }
 };
 
-struct CallHandler::ClaimEnd {
+struct CallHandler::ClaimOutcome {
   ClaimReply reply;
-  // Null unless granted.
+  // Null unless the claim was granted.
   std::shared_ptr<ClaimHold> hold;
 };
 
@@ -90,11 +92,11 @@
     : state_(state),
       loop_(loop),
       wake_(loop.context()),
-      suspicion_(state.quarantine(), loop.context()),
+      quarantine_check_(state.quarantine(), loop.context()),
       call_id_(names().callers_assign_call_ids ? std::string() : MakeCallId()) {
 }
 
-void CallHandler::CallerGone() {
+void CallHandler::OnCallerGone() {
   caller_gone_ = true;
   if (exchange_) {
     exchange_->Cancel();
@@ -112,11 +114,12 @@
   co_await wake_.async_wait(asio::redirect_error(asio::use_awaitable, ec));
 }
 
-// The balancer may outlive the loop, so it holds no owner of sockets or timers.
+// The balancer may outlive the loop, so the callback must not own sockets or
+// timers.
 ServiceDispatcher::OnPlaced CallHandler::MakeOnPlaced() {
   return [weak = weak_from_this(),
-          door = loop_.door()](const Placement& placement) {
-    door->Post([weak, placement] {
+          poster = loop_.poster()](const Placement& placement) {
+    poster->Post([weak, placement] {
       if (const auto self = weak.lock()) {
         self->placement_ = placement;
         self->wake_.cancel();
@@ -131,7 +134,7 @@
     if (late && dispatcher_->Withdraw(offer_.token, Clock::now())) {
       co_return Placement{Refusal::kDeadline, 0, {}, {}};
     }
-    // Where the withdrawal comes too late the placement is on its way.
+    // If the withdrawal comes too late, the placement is about to arrive.
     const TimePoint until = late ? TimePoint::max() : offer_.deadline;
     co_await Sleep(until);
   }
@@ -141,33 +144,36 @@
   co_return placement;
 }
 
-// False where this host does not get to know in time what is in force. A caller
-// that is refused by a starting host has used up its retry: after a loss of
-// power of a whole fleet with a large route book, hosts would refuse calls that
-// they can serve a moment later.
-asio::awaitable<bool> CallHandler::AwaitCurrent(const HttpRequest& request) {
-  const TimePoint until =
-      std::min(state_.current_by(),
-               offer_.arrival + AskedTime(request, names()) / kPartForCurrent);
+// Returns false if this host does not learn in time which documents are in
+// force. Calls wait because a caller that is refused by a starting host has
+// used up its retry: after a power loss of a whole fleet with a large route
+// table, hosts would refuse calls that they can serve a moment later.
+asio::awaitable<bool> CallHandler::AwaitCurrentState(
+    const HttpRequest& request) {
+  const TimePoint until = std::min(
+      state_.current_by(), offer_.arrival + RequestedTimeout(request, names()) /
+                                                kCurrentWaitDivisor);
   while (!state_.IsCurrent()) {
     if (caller_gone_ || Clock::now() >= until) {
       co_return false;
     }
-    co_await Sleep(Clock::now() + kCurrentPoll);
+    co_await Sleep(Clock::now() + kCurrentPollInterval);
   }
   co_return true;
 }
 
-asio::awaitable<CallHandler::Ending> CallHandler::Admit(HttpRequest& request) {
-  // A process that was stopped still holds the contracts of before, and calls
-  // that came meanwhile are its first work: a customer whose contract is gone
-  // would be served. The fleet's loop counts as current only while it turns,
-  // so this is right even where that loop has not run yet.
-  const bool is_current = co_await AwaitCurrent(request);
+asio::awaitable<CallHandler::CallResult> CallHandler::Admit(
+    HttpRequest& request) {
+  // A process that was suspended still has its old contracts, and the first
+  // thing it does is to serve the calls that arrived meanwhile: a customer
+  // whose contract has been removed would be served. The fleet loop reports
+  // itself as current only while it keeps running, so this check is correct
+  // even if that loop has not run yet.
+  const bool is_current = co_await AwaitCurrentState(request);
   if (!is_current) {
     Failure failure = MakeFailure(FailureKind::kNotCurrent);
-    failure.retry_after = kUntilCurrent;
-    co_return Ending::NotRun(std::move(failure));
+    failure.retry_after = kNotCurrentRetryAfter;
+    co_return CallResult::NotRun(std::move(failure));
   }
   routing_ = state_.routing();
   if (routing_->has_routes()) {
@@ -176,13 +182,13 @@
   co_return co_await RouteByContract(request);
 }
 
-asio::awaitable<CallHandler::Ending> CallHandler::RouteByHost(
+asio::awaitable<CallHandler::CallResult> CallHandler::RouteByHost(
     HttpRequest& request) {
   const Route* route =
       routing_->FindRoute(FromBeast(request[http::field::host]),
                           PathOf(FromBeast(request.target())));
   if (route == nullptr) {
-    co_return Ending::NotRun(MakeFailure(FailureKind::kNoRoute));
+    co_return CallResult::NotRun(MakeFailure(FailureKind::kNoRoute));
   }
   contract_ = &route->contract;
   FillOffer(*route, request, names(), offer_);
@@ -191,124 +197,124 @@
   service_ = routing_->FindServiceById(target);
   dispatcher_ = state_.FindDispatcher(target);
   if (service_ == nullptr || !dispatcher_) {
-    co_return Ending::NotRun(MakeFailure(FailureKind::kNoEndpoint));
+    co_return CallResult::NotRun(MakeFailure(FailureKind::kNoEndpoint));
   }
-  co_return co_await SendUntilDone(request);
+  co_return co_await SendWithRetries(request);
 }
 
-asio::awaitable<CallHandler::Ending> CallHandler::RouteByContract(
+asio::awaitable<CallHandler::CallResult> CallHandler::RouteByContract(
     HttpRequest& request) {
   const std::string path = PathForRules(FromBeast(request.target()));
   contract_ = routing_->FindContract(FromBeast(request[ToBeast(kKeyHeader)]));
   if (contract_ == nullptr) {
-    co_return Ending::NotRun(MakeFailure(FailureKind::kUnknownCustomer));
+    co_return CallResult::NotRun(MakeFailure(FailureKind::kUnknownCustomer));
   }
   offer_.customer = contract_->customer;
   service_ = routing_->FindService(path);
-  const auto request_class = service_ == nullptr
-                                 ? std::nullopt
-                                 : Classify(*contract_, service_->id,
-                                            FromBeast(request.method_string()),
-                                            PathBelow(service_->prefix, path));
+  const auto request_class =
+      service_ == nullptr ? std::nullopt
+                          : Classify(*contract_, service_->id,
+                                     FromBeast(request.method_string()),
+                                     PathAfterPrefix(service_->prefix, path));
   if (!request_class) {
-    co_return Ending::NotRun(MakeFailure(FailureKind::kNotInContract));
+    co_return CallResult::NotRun(MakeFailure(FailureKind::kNotInContract));
   }
   FillOffer(*contract_, *request_class, request, names(), offer_);
-  attempt_ = AttemptsBefore(request, names());
-  if (ReadNumber(request, names().depth).value_or(0) >= kDeepest) {
-    co_return Ending::NotRun(MakeFailure(FailureKind::kTooDeep));
+  attempt_ = PreviousAttempts(request, names());
+  if (ReadNumber(request, names().depth).value_or(0) >= kMaxCallDepth) {
+    co_return CallResult::NotRun(MakeFailure(FailureKind::kTooDeep));
   }
   dispatcher_ = state_.FindDispatcher(service_->id);
   if (!dispatcher_) {
-    co_return Ending::NotRun(MakeFailure(FailureKind::kNoEndpoint));
+    co_return CallResult::NotRun(MakeFailure(FailureKind::kNoEndpoint));
   }
   const auto verdict = state_.limits().Enter(*contract_, offer_.arrival);
   if (!verdict.admitted) {
     Failure failure = MakeFailure(FailureKind::kLimit);
     failure.retry_after = verdict.retry_after;
-    co_return Ending::NotRun(std::move(failure));
+    co_return CallResult::NotRun(std::move(failure));
   }
-  const LimitHold hold(state_.limits(), contract_->customer);
-  co_return co_await Claimed(request);
+  const LimitGuard hold(state_.limits(), contract_->customer);
+  co_return co_await SendUnderClaim(request);
 }
 
-// Null where the keepers did not answer in time. A grant that comes later
-// finds nobody and settles itself as not run.
-asio::awaitable<std::shared_ptr<CallHandler::ClaimEnd>> CallHandler::AwaitClaim(
-    ClaimRequest claim) {
+// Returns null if the claim replicas did not answer in time. A grant that
+// arrives later has no receiver, and its guard settles it as not run.
+asio::awaitable<std::shared_ptr<CallHandler::ClaimOutcome>>
+CallHandler::AwaitClaim(ClaimRequest claim) {
   awaits_claim_ = true;
   ClaimGate& gate = state_.claims();
   gate.Claim(claim, [&gate, claim, weak = weak_from_this(),
-                     door = loop_.door()](const ClaimReply& reply) {
-    auto end = std::make_shared<ClaimEnd>(ClaimEnd{reply, nullptr});
+                     poster = loop_.poster()](const ClaimReply& reply) {
+    auto end = std::make_shared<ClaimOutcome>(ClaimOutcome{reply, nullptr});
     if (reply.verdict == ClaimVerdict::kGranted) {
       end->hold = std::make_shared<ClaimHold>(gate, claim, reply.claim);
     }
-    door->Post([weak, end = std::move(end)] {
+    poster->Post([weak, end = std::move(end)] {
       const auto self = weak.lock();
       if (self && self->awaits_claim_) {
-        self->claim_end_ = end;
+        self->claim_outcome_ = end;
         self->wake_.cancel();
       }
     });
   });
-  while (!claim_end_ && Clock::now() < offer_.deadline) {
+  while (!claim_outcome_ && Clock::now() < offer_.deadline) {
     co_await Sleep(offer_.deadline);
   }
   awaits_claim_ = false;
-  co_return std::move(claim_end_);
+  co_return std::move(claim_outcome_);
 }
 
-asio::awaitable<CallHandler::Ending> CallHandler::Claimed(
+asio::awaitable<CallHandler::CallResult> CallHandler::SendUnderClaim(
     HttpRequest& request) {
   const auto key = FromBeast(request[ToBeast(kIdempotencyKeyHeader)]);
   if (offer_.idempotent || key.empty()) {
-    co_return co_await SendUntilDone(request);
+    co_return co_await SendWithRetries(request);
   }
   ClaimRequest claim{contract_->customer, std::string(key), DigestOf(request),
                      offer_.deadline};
   const auto end = co_await AwaitClaim(std::move(claim));
   if (!end) {
-    co_return Ending{Outcome::kUnknown, std::nullopt,
-                     MakeFailure(FailureKind::kClaimUnavailable)};
+    co_return CallResult{Outcome::kUnknown, std::nullopt,
+                         MakeFailure(FailureKind::kClaimUnavailable)};
   }
   const ClaimReply& reply = end->reply;
   if (reply.verdict == ClaimVerdict::kAlreadyRan && reply.answer) {
-    co_return Ending::Complete(AnswerFrom(*reply.answer));
+    co_return CallResult::Complete(ToHttpResponse(*reply.answer));
   }
   if (reply.verdict == ClaimVerdict::kMismatch) {
-    co_return Ending::NotRun(MakeFailure(FailureKind::kKeyReused));
+    co_return CallResult::NotRun(MakeFailure(FailureKind::kKeyReused));
   }
   if (reply.verdict != ClaimVerdict::kGranted) {
-    // An earlier request under the key may have run.
+    // An earlier request with the same key may have run.
     Failure failure = MakeFailure(KindOf(reply.verdict));
     if (failure.retry_after) {
       failure.retry_after = reply.retry_after;
     }
-    co_return Ending{Outcome::kUnknown, std::nullopt, std::move(failure)};
+    co_return CallResult{Outcome::kUnknown, std::nullopt, std::move(failure)};
   }
   claim_ = end->hold;
-  Ending ending = co_await SendUntilDone(request);
-  claim_->Settle(ending.outcome, KeptFrom(ending.answer));
-  co_return ending;
+  CallResult result = co_await SendWithRetries(request);
+  claim_->Settle(result.outcome, ToKeptAnswer(result.answer));
+  co_return result;
 }
 
-bool CallHandler::MaySend() const {
-  return !caller_gone_ && offer_.deadline - Clock::now() >= kLeastTimeToSend;
+bool CallHandler::HasTimeToSend() const {
+  return !caller_gone_ && offer_.deadline - Clock::now() >= kMinTimeToSend;
 }
 
-std::optional<FailureKind> CallHandler::ObstacleToSend(
+std::optional<FailureKind> CallHandler::FindSendObstacle(
     const HttpRequest& request) {
-  if (!MaySend()) {
+  if (!HasTimeToSend()) {
     return FailureKind::kDeadline;
   }
-  if (suspicion_.IsQuarantined(CallerOf(request), request)) {
+  if (quarantine_check_.IsQuarantined(CallerOf(request), request)) {
     return FailureKind::kQuarantined;
   }
   return std::nullopt;
 }
 
-bool CallHandler::GiveBack(const Placement& placement) {
+bool CallHandler::ReturnPlacement(const Placement& placement) {
   const SendEnd end{.token = offer_.token,
                     .endpoint = placement.endpoint,
                     .result = SendResult::kCancelled,
@@ -320,7 +326,8 @@
          dispatcher_->Withdraw(offer_.token, now);
 }
 
-// The name of the customer that a route stands for changes with the routes.
+// With routes, the host name is used, because the customer id of a route can
+// change whenever the routes change.
 std::string_view CallHandler::CallerOf(const HttpRequest& request) const {
   return routing_->has_routes() ? FromBeast(request[http::field::host])
                                 : std::string_view(offer_.customer.text());
@@ -349,10 +356,10 @@
     claim_->MarkSent();
   }
   if (!offer_.idempotent) {
-    exchange_->UseYoungConnection();
+    exchange_->RequireRecentConnection();
   }
-  // Named first: g++ 12 destroys the temporaries of a conditional inside a
-  // co_await expression twice.
+  // A named variable, because g++ 12 destroys the temporaries of a conditional
+  // expression inside co_await twice.
   std::string expected_call;
   if (service_->echoes_call) {
     expected_call = call_id_.text();
@@ -364,28 +371,28 @@
   co_return result;
 }
 
-asio::awaitable<CallHandler::Ending> CallHandler::SendUntilDone(
+asio::awaitable<CallHandler::CallResult> CallHandler::SendWithRetries(
     HttpRequest& request) {
   const auto depth = ReadNumber(request, names().depth).value_or(0);
   PrepareForEndpoint(request, call_id_, depth + 1, names());
   CallOutcome call(offer_.idempotent);
-  // Why the last send that may have run brought no answer.
-  std::optional<FailureKind> unsure;
+  // Failure of the last send that may have run without an answer.
+  std::optional<FailureKind> unknown_failure;
   const auto give_up = [&](FailureKind kind) {
     const Outcome outcome = call.outcome();
-    const FailureKind told =
-        outcome == Outcome::kUnknown ? unsure.value_or(kind) : kind;
-    return Ending{outcome, std::nullopt, MakeFailure(told)};
+    const FailureKind reported =
+        outcome == Outcome::kUnknown ? unknown_failure.value_or(kind) : kind;
+    return CallResult{outcome, std::nullopt, MakeFailure(reported)};
   };
   int sends = 0;
   const auto refuse = [&](FailureKind kind) {
-    Ending ending = give_up(kind);
-    if (ending.outcome == Outcome::kNotRun) {
-      ending.failure.SetRetryAfter(suspicion_.retry_after());
+    CallResult result = give_up(kind);
+    if (result.outcome == Outcome::kNotRun) {
+      result.failure.SetRetryAfter(quarantine_check_.retry_after());
     }
-    return ending;
+    return result;
   };
-  if (const auto obstacle = ObstacleToSend(request)) {
+  if (const auto obstacle = FindSendObstacle(request)) {
     co_return refuse(*obstacle);
   }
   dispatcher_->Offer(offer_, MakeOnPlaced(), Clock::now());
@@ -393,13 +400,13 @@
     const Placement placement = co_await AwaitPlacement();
     if (placement.refusal != Refusal::kNone) {
       call.OnRefused();
-      Ending ending = give_up(KindOf(placement.refusal));
-      ending.failure.SetRetryAfter(placement.retry_after);
-      co_return ending;
+      CallResult result = give_up(KindOf(placement.refusal));
+      result.failure.SetRetryAfter(placement.retry_after);
+      co_return result;
     }
-    if (const auto obstacle = ObstacleToSend(request)) {
-      const bool is_back = GiveBack(placement);
-      if (is_back) {
+    if (const auto obstacle = FindSendObstacle(request)) {
+      const bool is_returned = ReturnPlacement(placement);
+      if (is_returned) {
         call.OnRefused();
         co_return refuse(*obstacle);
       }
@@ -407,13 +414,14 @@
     }
     call.OnPlaced();
     ExchangeResult sent = co_await SendOnce(request, placement);
-    call.OnSendEnd(ForOutcome(sent));
-    if (!SurelyNotRun(ForOutcome(sent))) {
-      unsure = KindOf(sent.result);
+    call.OnSendEnd(EffectiveResult(sent));
+    if (!SurelyNotRun(EffectiveResult(sent))) {
+      unknown_failure = KindOf(sent.result);
     }
     const bool is_suspected =
-        suspicion_.IsSuspected() && !SurelyNotRun(ForOutcome(sent));
-    suspicion_.OnSendEnd(CallerOf(request), request, placement.target, sent);
+        quarantine_check_.IsSuspected() && !SurelyNotRun(EffectiveResult(sent));
+    quarantine_check_.OnSendEnd(CallerOf(request), request, placement.target,
+                                sent);
     const SendEnd end{
         .token = offer_.token,
         .endpoint = placement.endpoint,
@@ -421,7 +429,7 @@
         .took = sent.took,
         .report = sent.report,
         .signals = sent.signals,
-        .retried_downstream = WentThroughAnotherHop(sent, names()),
+        .retried_downstream = WasHandledByAnotherHop(sent, names()),
         .is_suspected = is_suspected,
         .sends = ++sends};
     const AfterSend after =
@@ -431,22 +439,22 @@
       continue;
     }
     call.OnGivenUp();
-    const bool whole = sent.result == SendResult::kAnswered ||
-                       sent.result == SendResult::kFailed;
-    if (whole) {
-      co_return Ending{call.outcome(), std::move(sent.answer), {}};
+    const bool is_complete = sent.result == SendResult::kAnswered ||
+                             sent.result == SendResult::kFailed;
+    if (is_complete) {
+      co_return CallResult{call.outcome(), std::move(sent.answer), {}};
     }
-    Ending ending = give_up(FailureOf(sent));
-    if (ending.outcome == Outcome::kNotRun) {
-      ending.failure.SetRetryAfter(
+    CallResult result = give_up(FailureKindOf(sent));
+    if (result.outcome == Outcome::kNotRun) {
+      result.failure.SetRetryAfter(
           dispatcher_->RetryAfterSend(offer_, end, Clock::now()));
     }
-    co_return ending;
+    co_return result;
   }
 }
 
 void CallHandler::Log(const HttpRequest& request,
-                      const Ending& ending,
+                      const CallResult& result,
                       TimePoint now) {
   CallRecord record;
   record.call = call_id_;
@@ -454,11 +462,11 @@
   if (service_ != nullptr) {
     record.service = service_->id;
   }
-  record.outcome = ending.outcome;
-  if (ending.answer) {
-    record.status = ending.answer->result_int();
+  record.outcome = result.outcome;
+  if (result.answer) {
+    record.status = result.answer->result_int();
   } else {
-    record.failure = ToString(ending.failure.kind);
+    record.failure = ToString(result.failure.kind);
   }
   record.endpoint = last_endpoint_;
   record.sends = sends_;
@@ -469,21 +477,22 @@
   record.basis = basis_;
   record.routes_version =
       routing_->has_routes() ? routing_->book()->version : 0;
-  if (IsWorthALine(record)) {
-    record.request = suspicion_.Fingerprint(CallerOf(request), request);
+  if (NeedsLogLine(record)) {
+    record.request = quarantine_check_.Fingerprint(CallerOf(request), request);
     state_.call_log().Write(record, now);
   }
 }
 
-HttpResponse CallHandler::Render(const HttpRequest& request, Ending ending) {
-  if (!ending.answer) {
-    state_.counters().CountFailure(ending.failure.kind);
-    return RenderFailure(ending.failure, ending.outcome, call_id_, names());
+HttpResponse CallHandler::Render(const HttpRequest& request,
+                                 CallResult result) {
+  if (!result.answer) {
+    state_.counters().CountFailure(result.failure.kind);
+    return RenderFailure(result.failure, result.outcome, call_id_, names());
   }
-  HttpResponse response = std::move(*ending.answer);
+  HttpResponse response = std::move(*result.answer);
   PrepareForCaller(response, request.method() == http::verb::head, names());
   response.version(11);
-  SetNamed(response, names().outcome, ToString(ending.outcome));
+  SetNamed(response, names().outcome, ToString(result.outcome));
   if (!call_id_.empty()) {
     SetNamed(response, names().call, call_id_.text());
   }
@@ -491,20 +500,20 @@
 }
 
 asio::awaitable<HttpResponse> CallHandler::Handle(HttpRequest request) {
-  const InFlight in_flight(state_.calls_in_flight());
+  const InFlightGuard in_flight(state_.calls_in_flight());
   offer_.token = state_.NextToken();
   offer_.arrival = Clock::now();
   if (names().callers_assign_call_ids) {
     call_id_ = CallId(std::string(request[names().call]));
   }
   routing_ = state_.routing();
-  Ending ending = co_await Admit(request);
+  CallResult result = co_await Admit(request);
   const TimePoint now = Clock::now();
   const Duration total = now - offer_.arrival;
-  Log(request, ending, now);
+  Log(request, result, now);
   state_.metrics().Record({offer_.customer, offer_.urgency},
-                          {ending.outcome, total, total - at_endpoints_});
-  co_return Render(request, std::move(ending));
+                          {result.outcome, total, total - at_endpoints_});
+  co_return Render(request, std::move(result));
 }
 
 }  // namespace damasktack
--- a/proxy/call_handler.h
+++ b/proxy/call_handler.h
@@ -14,64 +14,65 @@
 
 namespace damasktack {
 
-// Takes one whole request from its caller to an endpoint and back. Lives on
-// one I/O thread; must be owned by a shared_ptr until Handle has ended.
+// Handles one complete request: admits it, routes it, sends it to an endpoint
+// with retries, and returns the answer. Used on one I/O thread only; must be
+// owned by a shared_ptr until Handle has returned.
 class CallHandler : public std::enable_shared_from_this<CallHandler> {
  public:
   CallHandler(ProxyState& state, ProxyLoop& loop);
 
   asio::awaitable<HttpResponse> Handle(HttpRequest request);
 
-  // The caller is gone: gives up the wait or cancels the send. Thread of the
-  // handler only.
-  void CallerGone();
+  // Called when the caller has disconnected: stops waiting for an endpoint, or
+  // cancels the send in progress. Must be called on the handler's thread.
+  void OnCallerGone();
 
  private:
-  struct Ending;
-  struct ClaimEnd;
+  struct CallResult;
+  struct ClaimOutcome;
 
-  asio::awaitable<bool> AwaitCurrent(const HttpRequest& request);
-  asio::awaitable<Ending> Admit(HttpRequest& request);
-  asio::awaitable<Ending> RouteByContract(HttpRequest& request);
-  asio::awaitable<Ending> RouteByHost(HttpRequest& request);
-  asio::awaitable<Ending> Claimed(HttpRequest& request);
-  asio::awaitable<std::shared_ptr<ClaimEnd>> AwaitClaim(ClaimRequest claim);
-  asio::awaitable<Ending> SendUntilDone(HttpRequest& request);
+  asio::awaitable<bool> AwaitCurrentState(const HttpRequest& request);
+  asio::awaitable<CallResult> Admit(HttpRequest& request);
+  asio::awaitable<CallResult> RouteByContract(HttpRequest& request);
+  asio::awaitable<CallResult> RouteByHost(HttpRequest& request);
+  asio::awaitable<CallResult> SendUnderClaim(HttpRequest& request);
+  asio::awaitable<std::shared_ptr<ClaimOutcome>> AwaitClaim(ClaimRequest claim);
+  asio::awaitable<CallResult> SendWithRetries(HttpRequest& request);
   asio::awaitable<ExchangeResult> SendOnce(HttpRequest& request,
                                            const Placement& placement);
   asio::awaitable<Placement> AwaitPlacement();
-  // Until somebody cancels `wake_`, or `until`.
+  // Waits until `wake_` is cancelled or `until` is reached.
   asio::awaitable<void> Sleep(TimePoint until);
   ServiceDispatcher::OnPlaced MakeOnPlaced();
-  bool MaySend() const;
-  // Why the request is not to be sent now; null where nothing speaks against
-  // it.
-  std::optional<FailureKind> ObstacleToSend(const HttpRequest& request);
-  // Hands a placement back without a send. False where the call is placed
+  bool HasTimeToSend() const;
+  // Returns the reason why the request must not be sent now, or null if it may
+  // be sent.
+  std::optional<FailureKind> FindSendObstacle(const HttpRequest& request);
+  // Returns a placement unused. False if the call has already been placed
   // again.
-  bool GiveBack(const Placement& placement);
-  HttpResponse Render(const HttpRequest& request, Ending ending);
-  // Whose request it is, the same at each host.
+  bool ReturnPlacement(const Placement& placement);
+  HttpResponse Render(const HttpRequest& request, CallResult result);
+  // Returns an identifier of the caller that is the same on every host.
   std::string_view CallerOf(const HttpRequest& request) const;
-  // Leaves a line where the call did not simply succeed.
-  void Log(const HttpRequest& request, const Ending& ending, TimePoint now);
+  // Logs the call if it was refused, failed, retried or late.
+  void Log(const HttpRequest& request, const CallResult& result, TimePoint now);
   const ProtocolNames& names() const { return state_.options().names; }
 
   ProxyState& state_;
   ProxyLoop& loop_;
   asio::steady_timer wake_;
-  CallSuspicion suspicion_;
+  CallSuspicion quarantine_check_;
   RoutingTablePtr routing_;
   const Contract* contract_ = nullptr;
   const ServiceSpec* service_ = nullptr;
   std::shared_ptr<ServiceDispatcher> dispatcher_;
   CallOffer offer_;
-  // The caller's own name of the call, where callers name their calls.
+  // Chosen by the caller if the protocol lets callers assign call ids.
   CallId call_id_;
   std::optional<Placement> placement_;
-  // Of the last placement or refusal.
+  // What the last placement or refusal was based on.
   DecisionBasis basis_;
-  std::shared_ptr<ClaimEnd> claim_end_;
+  std::shared_ptr<ClaimOutcome> claim_outcome_;
   std::shared_ptr<ClaimHold> claim_;
   std::shared_ptr<EndpointExchange> exchange_;
   Duration at_endpoints_{};
--- a/proxy/call_holds.h
+++ b/proxy/call_holds.h
@@ -10,29 +10,30 @@
 
 namespace damasktack {
 
-// A place among the calls in flight, also where the coroutine is destroyed.
-class InFlight {
+// Counts one call in flight for as long as it exists, so that the count is also
+// decremented if the call's coroutine is destroyed.
+class InFlightGuard {
  public:
-  explicit InFlight(std::atomic<std::int64_t>& count) : count_(count) {
+  explicit InFlightGuard(std::atomic<std::int64_t>& count) : count_(count) {
     ++count_;
   }
-  ~InFlight() { --count_; }
-  InFlight(const InFlight&) = delete;
-  InFlight& operator=(const InFlight&) = delete;
+  ~InFlightGuard() { --count_; }
+  InFlightGuard(const InFlightGuard&) = delete;
+  InFlightGuard& operator=(const InFlightGuard&) = delete;
 
  private:
   std::atomic<std::int64_t>& count_;
 };
 
-// An admission under the customer's limits. One that is not given back would
-// make the limit smaller for ever.
-class LimitHold {
+// Holds one admission under a customer's limits and releases it on destruction.
+// An admission that is never released would reduce the limit permanently.
+class LimitGuard {
  public:
-  LimitHold(LimitGate& gate, CustomerId customer)
+  LimitGuard(LimitGate& gate, CustomerId customer)
       : gate_(gate), customer_(std::move(customer)) {}
-  ~LimitHold() { gate_.Leave(customer_, Clock::now()); }
-  LimitHold(const LimitHold&) = delete;
-  LimitHold& operator=(const LimitHold&) = delete;
+  ~LimitGuard() { gate_.Leave(customer_, Clock::now()); }
+  LimitGuard(const LimitGuard&) = delete;
+  LimitGuard& operator=(const LimitGuard&) = delete;
 
  private:
   LimitGate& gate_;
--- a/proxy/call_log.cc
+++ b/proxy/call_log.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-bool IsWorthALine(const CallRecord& record) {
+bool NeedsLogLine(const CallRecord& record) {
   return record.outcome != Outcome::kComplete || record.sends != 1 ||
          record.left < Duration::zero();
 }
--- a/proxy/call_log.h
+++ b/proxy/call_log.h
@@ -15,49 +15,51 @@
 
 namespace damasktack {
 
-// How one call ended, with what decided it.
+// How one call ended and what the decision was based on.
 struct CallRecord {
   CallId call;
-  // The same for each attempt of the caller.
+  // The same for each of the caller's attempts.
   RequestFingerprint request;
   CustomerId customer;
   ServiceId service;
   Outcome outcome = Outcome::kNotRun;
-  // Status of the answer.
+  // HTTP status of the answer.
   unsigned status = 0;
-  // Why, where the answer is damasktack's own; empty otherwise.
+  // The kind of failure if damasktack generated the answer itself; empty
+  // otherwise.
   std::string_view failure;
-  // The last endpoint that it was sent to; empty where there was none.
+  // The last endpoint that the call was sent to; empty if it was never sent.
   EndpointId endpoint;
   int sends = 0;
-  // From the arrival to the end, and how much of it at endpoints.
+  // Time from the call's arrival to its end, and the part of it spent at
+  // endpoints.
   Duration total{};
   Duration at_endpoints{};
-  // What remained of its time at the end; negative where it came too late.
+  // Time left until the latency objective at the end; negative if it was
+  // missed.
   Duration left{};
-  // What the last placement or refusal rested on.
+  // What the last placement or refusal was based on.
   DecisionBasis basis;
-  // The version of the routes that it went by; 0 without routes.
+  // Version of the route table that was used; 0 without routes.
   std::uint64_t routes_version = 0;
 };
 
-// Whether the call did not simply succeed: refused, failed, sent more than
-// once, or late.
-bool IsWorthALine(const CallRecord& record);
+// Returns true if the call was refused, failed, sent more than once, or late.
+bool NeedsLogLine(const CallRecord& record);
 
-// Writes lines of calls that did not simply succeed. Bounded whatever happens,
-// since a burst of failures comes when there is least time for logging; what
-// was left out is counted, and the next line says so. Safe to use from several
-// threads.
+// Logs calls that were refused, failed, retried or late. The log is
+// rate-limited, because a burst of failures comes when the process has the
+// least time for logging. Dropped lines are counted, and the next line states
+// their number. Thread-safe.
 class CallLog {
  public:
-  // Lines a second, and how many at once. A line costs about 10 us, so that
-  // the bound is a few parts in ten thousand of a core.
+  // Maximum rate and burst of log lines. A line costs about 10 us, so logging
+  // takes at most a few parts in ten thousand of a core.
   static constexpr double kLinesPerSecond = 20;
-  static constexpr double kLinesAtOnce = 40;
+  static constexpr double kLineBurst = 40;
 
   void Write(const CallRecord& record, TimePoint now);
-  // The call goes to a cold endpoint, by what its host believes of it.
+  // Logs that a call is sent to an endpoint that this host considers cold.
   void WriteColdSend(const CallId& call,
                      const EndpointId& endpoint,
                      const ColdBasis& basis,
@@ -65,12 +67,13 @@
   std::uint64_t dropped() const;
 
  private:
-  // The lines left out since the last one; null where this one is too.
+  // Returns the number of lines dropped since the last one that was written, or
+  // null if this line must be dropped too.
   std::optional<std::uint64_t> TakeLine(TimePoint now);
 
   mutable std::mutex mutex_;
-  TokenBucket budget_{kLinesPerSecond, kLinesAtOnce};
-  // Since the last line, and in all.
+  TokenBucket budget_{kLinesPerSecond, kLineBurst};
+  // Lines dropped since the last written line, and in total.
   std::uint64_t dropped_since_ = 0;
   std::uint64_t dropped_ = 0;
 };
--- a/proxy/call_metrics.cc
+++ b/proxy/call_metrics.cc
@@ -10,20 +10,21 @@
 
 constexpr unsigned kBinsPerDecade = 20;
 constexpr unsigned kDecades = 7;
-constexpr double kShortest = 1e-5;
-constexpr double kLongest = 1e2;
+constexpr double kMinSeconds = 1e-5;
+constexpr double kMaxSeconds = 1e2;
 
 CallMetrics::TimeAxis MakeAxis() {
-  return CallMetrics::TimeAxis(kBinsPerDecade * kDecades, kShortest, kLongest);
+  return CallMetrics::TimeAxis(kBinsPerDecade * kDecades, kMinSeconds,
+                               kMaxSeconds);
 }
 
 double Seconds(Duration time) {
   return std::chrono::duration<double>(time).count();
 }
 
-// What the page says in place of a customer.
+// Label values used in place of a customer id.
 constexpr std::string_view kNoCustomer = "unknown";
-const CustomerId& Others() {
+const CustomerId& OverflowCustomer() {
   static const CustomerId others("(others)");
   return others;
 }
@@ -69,14 +70,14 @@
 
 Duration FromSeconds(double seconds) {
   return std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(std::min(seconds, kLongest)));
+      std::chrono::duration<double>(std::min(seconds, kMaxSeconds)));
 }
 
 std::vector<CallMetrics::TimeBin> BinsOf(
     const CallMetrics::Histogram& histogram) {
   std::vector<CallMetrics::TimeBin> bins;
   const auto& axis = histogram.axis(0);
-  // From the underflow bin to the overflow bin.
+  // Includes the underflow bin and the overflow bin.
   for (int n = -1; n <= axis.size(); ++n) {
     const double count = histogram.at(n);
     if (count > 0) {
@@ -94,17 +95,17 @@
     : total(boost::histogram::make_histogram(MakeAxis())),
       added(boost::histogram::make_histogram(MakeAxis())) {}
 
-CallMetrics::CallMetrics(std::size_t most_series) : most_series_(most_series) {}
+CallMetrics::CallMetrics(std::size_t max_series) : max_series_(max_series) {}
 
 CallMetrics::Cell& CallMetrics::CellOf(const Series& series) {
   const auto it = cells_.find(series);
   if (it != cells_.end()) {
     return it->second;
   }
-  // Contracts come and go over the years of a process; each series ever seen
-  // would stay, so that beyond the bound new ones share a series.
-  if (cells_.size() >= most_series_) {
-    return cells_[Series{Others(), series.urgency}];
+  // Series are never removed, and contracts come and go while a process runs
+  // for years. Once the bound is reached, new customers share one series.
+  if (cells_.size() >= max_series_) {
+    return cells_[Series{OverflowCustomer(), series.urgency}];
   }
   return cells_[series];
 }
@@ -133,11 +134,11 @@
 
 std::string CallMetrics::Render() const {
   std::ostringstream calls;
-  std::ostringstream totals;
-  std::ostringstream addeds;
+  std::ostringstream total_times;
+  std::ostringstream added_times;
   calls << "# TYPE damasktack_calls_total counter\n";
-  totals << "# TYPE damasktack_call_seconds histogram\n";
-  addeds << "# TYPE damasktack_added_seconds histogram\n";
+  total_times << "# TYPE damasktack_call_seconds histogram\n";
+  added_times << "# TYPE damasktack_added_seconds histogram\n";
   const std::lock_guard lock(mutex_);
   for (const auto& [series, cell] : cells_) {
     const std::string labels = Labels(series);
@@ -146,12 +147,12 @@
             << ToString(static_cast<Outcome>(n)) << "\"} " << cell.outcomes[n]
             << "\n";
     }
-    RenderHistogram(totals, "damasktack_call_seconds", labels, cell.total,
+    RenderHistogram(total_times, "damasktack_call_seconds", labels, cell.total,
                     cell.total_seconds);
-    RenderHistogram(addeds, "damasktack_added_seconds", labels, cell.added,
+    RenderHistogram(added_times, "damasktack_added_seconds", labels, cell.added,
                     cell.added_seconds);
   }
-  return calls.str() + totals.str() + addeds.str();
+  return calls.str() + total_times.str() + added_times.str();
 }
 
 }  // namespace damasktack
--- a/proxy/call_metrics.h
+++ b/proxy/call_metrics.h
@@ -15,16 +15,16 @@
 
 namespace damasktack {
 
-// Histograms of call times by customer and class, and counts by outcome.
-// Safe to use from several threads. Memory is bounded: callers without a
-// contract share one series, and customers beyond `most_series` another.
+// Collects histograms of call durations by customer and urgency class, and call
+// counts by outcome. Thread-safe. Memory is bounded: callers without a contract
+// share one series, and customers beyond `max_series` share another.
 class CallMetrics {
  public:
-  static constexpr std::size_t kMostSeries = 4096;
+  static constexpr std::size_t kMaxSeries = 4096;
 
-  explicit CallMetrics(std::size_t most_series = kMostSeries);
+  explicit CallMetrics(std::size_t max_series = kMaxSeries);
 
-  // Logarithmic in time, from 10 us to 100 s, 20 bins a decade.
+  // Logarithmic time axis from 10 us to 100 s with 20 bins per decade.
   using TimeAxis =
       boost::histogram::axis::regular<double,
                                       boost::histogram::axis::transform::log>;
@@ -32,7 +32,7 @@
       decltype(boost::histogram::make_histogram(std::declval<TimeAxis>()));
 
   struct Series {
-    // Empty where the caller has no contract.
+    // Empty if the caller has no contract.
     CustomerId customer;
     Urgency urgency = Urgency::kNormal;
 
@@ -41,25 +41,25 @@
 
   struct Sample {
     Outcome outcome = Outcome::kComplete;
-    // From the last byte of the request to the first of the answer.
+    // Time from the last byte of the request to the first byte of the answer.
     Duration total{};
-    // Total less the time spent at endpoints.
+    // `total` minus the time spent at endpoints.
     Duration added{};
   };
 
-  // Calls whose time was from `low` to below `high`.
+  // Number of calls with a duration in [low, high).
   struct TimeBin {
     Duration low{};
     Duration high{};
     std::uint64_t count = 0;
   };
 
-  // What was recorded of one series so far.
+  // Everything recorded for one series so far.
   struct SeriesReport {
     Series series;
-    // By Outcome.
+    // Indexed by Outcome.
     std::array<std::uint64_t, 3> outcomes{};
-    // Without the empty bins, shortest first.
+    // Non-empty bins only, in ascending order of duration.
     std::vector<TimeBin> total;
     std::vector<TimeBin> added;
   };
@@ -68,7 +68,7 @@
 
   std::vector<SeriesReport> Report() const;
 
-  // The Prometheus text format.
+  // Returns all series in the Prometheus text format.
   std::string Render() const;
 
  private:
@@ -84,7 +84,7 @@
 
   Cell& CellOf(const Series& series);
 
-  const std::size_t most_series_;
+  const std::size_t max_series_;
   mutable std::mutex mutex_;
   std::map<Series, Cell> cells_;
 };
--- a/proxy/call_suspicion.cc
+++ b/proxy/call_suspicion.cc
@@ -13,9 +13,9 @@
   return *fingerprint_;
 }
 
-// Any host may be the next to get the request. Without evidence that all of
-// them share it would end an endpoint more at each attempt of its caller, and
-// with it all other calls there.
+// Any host may get the next attempt of the request. Unless all hosts share the
+// evidence, each attempt would crash one more endpoint and abort all other
+// calls there.
 bool CallSuspicion::IsQuarantined(std::string_view caller,
                                   const HttpRequest& request) {
   if (judgement_.is_trial) {
--- a/proxy/call_suspicion.h
+++ b/proxy/call_suspicion.h
@@ -12,24 +12,26 @@
 
 namespace damasktack {
 
-// One call's side of the quarantine: whether its request may be sent, and what
-// the ends of its sends say of the request. `caller` is as in FingerprintOf.
-// Lives on one I/O thread.
+// Checks one call against the quarantine of requests that crash endpoints:
+// tells whether its request may be sent, and reports to the quarantine how each
+// send ended. `caller` is as in FingerprintOf. Used on one I/O thread only.
 class CallSuspicion {
  public:
-  // Both must outlive this.
+  // Both arguments must outlive this object.
   CallSuspicion(RequestQuarantine& quarantine, asio::io_context& context)
       : quarantine_(quarantine), context_(context) {}
 
-  // Computed at the first call.
+  // Returns the request's fingerprint, computed on first use.
   RequestFingerprint Fingerprint(std::string_view caller,
                                  const HttpRequest& request);
 
-  // To be asked before each send.
+  // Must be called before each send.
   bool IsQuarantined(std::string_view caller, const HttpRequest& request);
-  // When a quarantined request may come again; zero for others.
+  // Returns the time after which a quarantined request may be retried; zero for
+  // other requests.
   Duration retry_after() const { return judgement_.retry_after; }
-  // Whether endpoints had ended under the request when it was asked about last.
+  // Returns true if endpoints had crashed while handling this request, as of
+  // the last IsQuarantined call.
   bool IsSuspected() const { return judgement_.suspicion != Suspicion::kNone; }
 
   void OnSendEnd(std::string_view caller,
--- a/proxy/call_terms.cc
+++ b/proxy/call_terms.cc
@@ -8,10 +8,11 @@
 
 namespace {
 
-constexpr std::int64_t kMostAttempts = 1000;
-// An answer has to reach its caller before the caller's deadline, which began
-// before the request arrived: both ways, with some room.
-constexpr std::chrono::milliseconds kWayBack(10);
+constexpr std::int64_t kMaxAttempts = 1000;
+// The caller's timeout began before the request arrived, and the answer has to
+// reach the caller before it ends. Covers the network time in both directions
+// with some margin.
+constexpr std::chrono::milliseconds kAnswerReturnMargin(10);
 
 void FillContract(const Contract& contract, CallOffer& offer) {
   offer.customer = contract.customer;
@@ -23,16 +24,17 @@
 
 }  // namespace
 
-Duration AskedTime(const HttpRequest& request, const ProtocolNames& names) {
-  constexpr std::int64_t kMostMs = 24LL * 3600 * 1000;
-  const auto asked = ReadNumber(request, names.deadline).value_or(kMostMs);
-  return std::chrono::milliseconds(std::min(asked, kMostMs));
+Duration RequestedTimeout(const HttpRequest& request,
+                          const ProtocolNames& names) {
+  constexpr std::int64_t kMaxMs = 24LL * 3600 * 1000;
+  const auto asked = ReadNumber(request, names.deadline).value_or(kMaxMs);
+  return std::chrono::milliseconds(std::min(asked, kMaxMs));
 }
 
-std::int64_t AttemptsBefore(const HttpRequest& request,
-                            const ProtocolNames& names) {
+std::int64_t PreviousAttempts(const HttpRequest& request,
+                              const ProtocolNames& names) {
   const auto attempt = ReadNumber(request, names.attempt).value_or(1);
-  return std::clamp<std::int64_t>(attempt, 1, kMostAttempts) - 1;
+  return std::clamp<std::int64_t>(attempt, 1, kMaxAttempts) - 1;
 }
 
 void FillOffer(const Contract& contract,
@@ -43,11 +45,11 @@
   FillContract(contract, offer);
   offer.urgency = request_class.urgency;
   offer.idempotent = request_class.idempotent;
-  // A repeat by an earlier hop keeps its number, so that each hop after it
-  // knows not to repeat it once more.
-  offer.is_repeat = AttemptsBefore(request, names) > 0;
-  offer.deadline = offer.arrival +
-                   std::min(request_class.deadline, AskedTime(request, names));
+  // The attempt number of an earlier hop's retry is passed on, so that no later
+  // hop retries the call once more.
+  offer.is_repeat = PreviousAttempts(request, names) > 0;
+  offer.deadline = offer.arrival + std::min(request_class.deadline,
+                                            RequestedTimeout(request, names));
   offer.on_time_until = offer.deadline;
 }
 
@@ -60,9 +62,10 @@
   offer.idempotent = route.idempotent;
   offer.attempt_limit = route.attempt_limit;
   offer.allowed_regions = route.allowed_regions;
-  const Duration asked = AskedTime(request, names);
+  const Duration asked = RequestedTimeout(request, names);
   offer.asked = asked;
-  offer.deadline = offer.arrival + std::min(route.timeout, asked - kWayBack);
+  offer.deadline =
+      offer.arrival + std::min(route.timeout, asked - kAnswerReturnMargin);
   offer.on_time_until =
       std::min(offer.deadline, offer.arrival + route.latency_objective);
 }
--- a/proxy/call_terms.h
+++ b/proxy/call_terms.h
@@ -9,24 +9,27 @@
 
 namespace damasktack {
 
-// The terms on which a call is offered to its service's balancer: whose it is,
-// how urgent, until when, and how often it may be sent. `offer.arrival` must be
-// set; token and arrival are left as they are.
+// Functions that derive a call's parameters for its service's balancer:
+// customer, urgency, deadline and number of sends allowed. FillOffer needs
+// `offer.arrival` to be set and changes neither token nor arrival.
 
-// What the caller allows by its own header; without one, a day.
-Duration AskedTime(const HttpRequest& request, const ProtocolNames& names);
+// Returns the timeout that the caller requests in the deadline header; one day
+// without such a header.
+Duration RequestedTimeout(const HttpRequest& request,
+                          const ProtocolNames& names);
 
-// Sends of the call by hops before this one.
-std::int64_t AttemptsBefore(const HttpRequest& request,
-                            const ProtocolNames& names);
+// Returns how many times earlier hops have sent this call.
+std::int64_t PreviousAttempts(const HttpRequest& request,
+                              const ProtocolNames& names);
 
-// By the contract of a customer whose key came with the call.
+// Fills the offer from the contract of the customer whose key came with the
+// call.
 void FillOffer(const Contract& contract,
                const RequestClass& request_class,
                const HttpRequest& request,
                const ProtocolNames& names,
                CallOffer& offer);
-// By the route that the call is for.
+// Fills the offer from the route that matches the call.
 void FillOffer(const Route& route,
                const HttpRequest& request,
                const ProtocolNames& names,
--- a/proxy/caller_server.cc
+++ b/proxy/caller_server.cc
@@ -10,15 +10,16 @@
 
 namespace {
 
-// Out of descriptors, every accept fails at once; without a pause the loop
-// would take a whole core while callers wait for one.
-constexpr Duration kPauseAfterFailedAccept = std::chrono::milliseconds(10);
-// Further connections over the limit are closed without a word.
-constexpr std::int64_t kMostRefusalsAtOnce = 64;
+// When file descriptors run out, every accept fails immediately; without a
+// delay the accept loop would use a whole core while callers wait.
+constexpr Duration kAcceptRetryDelay = std::chrono::milliseconds(10);
+// Further connections over the limit are closed without an answer.
+constexpr std::int64_t kMaxConcurrentRefusals = 64;
 constexpr Duration kExpireInterval = std::chrono::seconds(1);
-// Between two looks at queues while none holds a call.
+// Tick interval while no call is waiting.
 constexpr Duration kQuietTick = std::chrono::milliseconds(10);
-// The same where nothing is measured while no call waits.
+// Tick interval while no call is waiting and no service probes its endpoints
+// when idle.
 constexpr Duration kIdleTick = std::chrono::milliseconds(500);
 
 }  // namespace
@@ -81,8 +82,7 @@
     if (!acceptor_->is_open()) {
       co_return;
     }
-    asio::steady_timer pause(loops_.front()->context(),
-                             kPauseAfterFailedAccept);
+    asio::steady_timer pause(loops_.front()->context(), kAcceptRetryDelay);
     co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, ec));
   }
 }
@@ -92,7 +92,7 @@
   socket.set_option(Tcp::no_delay(true), ec);
   std::atomic<std::int64_t>& open = state_.counters().connections();
   const bool is_full = open >= state_.options().connections;
-  if (is_full && *refusals_ >= kMostRefusalsAtOnce) {
+  if (is_full && *refusals_ >= kMaxConcurrentRefusals) {
     return;
   }
   auto session =
@@ -122,9 +122,9 @@
 asio::awaitable<void> CallerServer::TickLoop() {
   while (true) {
     boost::system::error_code ec;
-    // A quiet host would spend most of its control on waking for queues that
-    // are empty.
-    tick_timer_->expires_after(is_quiet_ ? QuietPause()
+    // With the short interval, an idle host would spend most of its control
+    // overhead on waking up for empty queues.
+    tick_timer_->expires_after(is_quiet_ ? QuietTickInterval()
                                          : state_.options().tick);
     co_await tick_timer_->async_wait(
         asio::redirect_error(asio::use_awaitable, ec));
@@ -132,7 +132,7 @@
   }
 }
 
-Duration CallerServer::QuietPause() const {
+Duration CallerServer::QuietTickInterval() const {
   const auto dispatchers = state_.dispatchers();
   const bool probes = std::ranges::any_of(dispatchers, [](const auto& it) {
     return it.second->probes_while_idle();
@@ -141,7 +141,7 @@
 }
 
 void CallerServer::OnWaiting() {
-  loops_.front()->door()->Post([this] {
+  loops_.front()->poster()->Post([this] {
     for (const auto& [id, dispatcher] : state_.dispatchers()) {
       if (!dispatcher->probes_while_idle()) {
         StartProbes(dispatcher, Clock::now());
@@ -165,39 +165,39 @@
 void CallerServer::StartProbes(
     const std::shared_ptr<ServiceDispatcher>& dispatcher,
     TimePoint now) {
-  while (const std::optional<ProbeOrder> order = dispatcher->NextProbe(now)) {
-    asio::co_spawn(loops_.front()->context(), Probe(dispatcher, *order),
+  while (const std::optional<ProbeRequest> probe = dispatcher->NextProbe(now)) {
+    asio::co_spawn(loops_.front()->context(), Probe(dispatcher, *probe),
                    asio::detached);
   }
 }
 
 asio::awaitable<void> CallerServer::Probe(
     std::shared_ptr<ServiceDispatcher> dispatcher,
-    ProbeOrder order) {
+    ProbeRequest probe) {
   ProxyLoop& loop = *loops_.front();
-  HttpRequest request(http::verb::get, ToBeast(order.target.health_path), 11);
-  request.set(http::field::host, ToString(order.target.address));
+  HttpRequest request(http::verb::get, ToBeast(probe.target.health_path), 11);
+  request.set(http::field::host, ToString(probe.target.address));
   const auto exchange = std::make_shared<EndpointExchange>(
-      loop.context().get_executor(), loop.pool(), order.target,
+      loop.context().get_executor(), loop.pool(), probe.target,
       state_.options().exchange, state_.options().names);
   const TimePoint deadline =
       Clock::now() + state_.options().exchange.connect_timeout;
   const ExchangeResult result = co_await exchange->Run(request, deadline, "");
   dispatcher->CountProbe(result.bytes);
   if (result.signals) {
-    dispatcher->OnProbeSignals(order, *result.signals, Clock::now());
+    dispatcher->OnProbeSignals(probe, *result.signals, Clock::now());
   }
   if (result.report) {
-    dispatcher->Report(order.endpoint, *result.report, Clock::now());
+    dispatcher->Report(probe.endpoint, *result.report, Clock::now());
   } else {
-    dispatcher->ProbeFailed(order.endpoint, result.result, Clock::now());
+    dispatcher->ProbeFailed(probe.endpoint, result.result, Clock::now());
   }
 }
 
 void CallerServer::BeginStopping() {
   state_.SetStopping();
   for (const auto& it : loops_) {
-    it->door()->Post([&loop = *it] {
+    it->poster()->Post([&loop = *it] {
       for (CallerSession* session : loop.sessions()) {
         session->OnStopping();
       }
@@ -206,7 +206,7 @@
 }
 
 void CallerServer::StopAccepting() {
-  loops_.front()->door()->Post([this] {
+  loops_.front()->poster()->Post([this] {
     boost::system::error_code ec;
     acceptor_->close(ec);
   });
@@ -216,8 +216,8 @@
   for (const auto& it : loops_) {
     it->Stop();
   }
-  // The acceptor belongs to the first loop. With the loops end the calls that
-  // were cut, and settle their claims while the gate is still there.
+  // The acceptor belongs to the first loop. Destroying the loops destroys the
+  // aborted calls, which settle their claims while the gate still exists.
   acceptor_.reset();
   tick_timer_.reset();
   loops_.clear();
--- a/proxy/caller_server.h
+++ b/proxy/caller_server.h
@@ -10,25 +10,26 @@
 
 namespace damasktack {
 
-// Accepts callers and runs the I/O threads. Each thread has an event loop and
-// a pool of endpoint connections of its own, so that a call stays on one
-// thread from its first byte to its last.
+// Accepts callers' connections and runs the I/O threads. Each thread has its
+// own event loop and its own pool of endpoint connections, so that a call stays
+// on one thread from start to end.
 class CallerServer {
  public:
   explicit CallerServer(ProxyState& state);
   ~CallerServer();
 
-  // Binds, then serves on its own threads until Stop.
+  // Binds the listening socket and serves on the I/O threads until Stop.
   leaf::result<void> Start();
-  // Begins a graceful stop: what has arrived is served, answers close their
-  // connections, idle connections end. Done when connections() is 0.
+  // Begins a graceful shutdown: requests that have arrived are served, their
+  // answers close the connections, and idle connections are closed. Complete
+  // when connections() is 0.
   void BeginStopping();
-  // Closes the listening socket; connections that are open go on.
+  // Closes the listening socket; open connections continue.
   void StopAccepting();
-  // Ends the threads; what is still in flight is cut.
+  // Stops the threads and aborts all calls in flight.
   void Stop();
   std::uint16_t port() const { return port_; }
-  // Callers' connections that are open, in all threads.
+  // Returns the number of open caller connections on all threads.
   std::int64_t connections() const { return state_.counters().connections(); }
 
  private:
@@ -36,27 +37,28 @@
   asio::awaitable<void> Accept();
   void Admit(Tcp::socket socket, ProxyLoop& loop);
   asio::awaitable<void> TickLoop();
-  // Calls have begun to wait: sends the probes that they need, and looks after
-  // them more often.
+  // Called when calls have begun to wait: sends the probes that they need and
+  // switches to the short tick interval.
   void OnWaiting();
   asio::awaitable<void> ExpireLoop(ProxyLoop& loop);
   asio::awaitable<void> Probe(std::shared_ptr<ServiceDispatcher> dispatcher,
-                              ProbeOrder order);
-  // Whether any call waits.
+                              ProbeRequest probe);
+  // Ticks all services. Returns true if any call is waiting.
   bool TickServices(TimePoint now);
-  Duration QuietPause() const;
+  Duration QuietTickInterval() const;
   void StartProbes(const std::shared_ptr<ServiceDispatcher>& dispatcher,
                    TimePoint now);
 
   ProxyState& state_;
   std::vector<std::unique_ptr<ProxyLoop>> loops_;
   std::unique_ptr<Tcp::acceptor> acceptor_;
-  // Of the first loop.
+  // Runs on the first loop.
   std::unique_ptr<asio::steady_timer> tick_timer_;
   bool is_quiet_ = false;
   std::uint16_t port_ = 0;
   std::size_t next_loop_ = 0;
-  // Connections that only learn that there are too many.
+  // Number of connections over the limit that are being answered with a
+  // refusal.
   std::shared_ptr<std::atomic<std::int64_t>> refusals_ =
       std::make_shared<std::atomic<std::int64_t>>(0);
 };
--- a/proxy/caller_session.cc
+++ b/proxy/caller_session.cc
@@ -13,15 +13,16 @@
 namespace {
 
 constexpr std::size_t kReadChunk = 4096;
-// An idle connection gives back a buffer that grew beyond this.
-constexpr std::size_t kKeptBuffer = 16U << 10U;
-// While stopping, a silent connection is closed after this: long against the
-// way of a request that has been sent, short against a stop.
+// An idle connection releases a buffer that grew beyond this size.
+constexpr std::size_t kMaxIdleBufferBytes = 16U << 10U;
+// Idle timeout while stopping: long compared with the network delay of a
+// request that has been sent, short compared with a shutdown.
 constexpr Duration kIdleWhileStopping = std::chrono::milliseconds(500);
-constexpr Duration kLongestLinger = std::chrono::seconds(1);
+constexpr Duration kMaxLinger = std::chrono::seconds(1);
 constexpr Duration kPollInterval = std::chrono::milliseconds(20);
-// Requests of one connection that are served at a time; more wait unread.
-constexpr std::size_t kMostTurns = 16;
+// Maximum requests of one connection served at a time; further ones stay
+// unread.
+constexpr std::size_t kMaxPendingRequests = 16;
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
 bool IsSafe(http::verb method) {
@@ -42,7 +43,7 @@
   return std::distance(request.begin(), request.end());
 }
 
-// A session is listed while it runs, so that a stop reaches it.
+// Registers a session while it runs, so that it can be notified of a shutdown.
 class Registration {
  public:
   Registration(std::unordered_set<CallerSession*>& sessions,
@@ -59,8 +60,8 @@
   CallerSession* const session_;
 };
 
-// Sets the length that goes with the status and the method: an answer to HEAD
-// keeps the length that GET would have, and 204 and 304 have none.
+// Sets Content-Length as the status and method require: an answer to HEAD keeps
+// the length that GET would have, and 204 and 304 have none.
 void SetLength(HttpResponse& response, bool head_only) {
   const bool has_length = response.count(http::field::content_length) > 0;
   const bool is_bare = response.result() == http::status::no_content ||
@@ -94,12 +95,12 @@
   timed_out_ = false;
   timer_.expires_after(timeout);
   timer_.async_wait([self = shared_from_this()](boost::system::error_code ec) {
-    // A handler that was already queued when the timer was set anew must not
+    // A handler that was already queued when the timer was restarted must not
     // end the next wait.
     if (ec || self->timer_.expiry() > Clock::now()) {
       return;
     }
-    // Cancelling would cut an earlier answer that is being written.
+    // Cancelling now would truncate an earlier answer that is being written.
     if (self->is_writing_) {
       self->ArmTimer(kPollInterval);
       return;
@@ -113,28 +114,28 @@
   timer_.expires_at(TimePoint::max());
 }
 
-void CallerSession::Lose() {
+void CallerSession::OnConnectionLost() {
   lost_ = true;
-  for (const TurnPtr& it : turns_) {
+  for (const PendingRequestPtr& it : pending_) {
     if (it->handler) {
-      it->handler->CallerGone();
+      it->handler->OnCallerGone();
     }
   }
   changed_.cancel();
 }
 
 void CallerSession::BeginIdle() {
-  Duration patience = state_.bounds().idle_timeout;
+  Duration timeout = state_.caller_limits().idle_timeout;
   if (state_.stopping()) {
-    patience = std::min(patience, kIdleWhileStopping);
+    timeout = std::min(timeout, kIdleWhileStopping);
   }
   is_idle_ = true;
-  ArmTimer(patience);
+  ArmTimer(timeout);
 }
 
 void CallerSession::OnStopping() {
   if (is_idle_) {
-    ArmTimer(std::min(kIdleWhileStopping, state_.bounds().idle_timeout));
+    ArmTimer(std::min(kIdleWhileStopping, state_.caller_limits().idle_timeout));
   }
 }
 
@@ -147,12 +148,12 @@
   if (buf_.size() > 0) {
     co_return true;
   }
-  if (buf_.capacity() > kKeptBuffer) {
+  if (buf_.capacity() > kMaxIdleBufferBytes) {
     buf_.shrink_to_fit();
   }
   boost::system::error_code ec;
   awaits_request_ = true;
-  if (turns_.empty()) {
+  if (pending_.empty()) {
     BeginIdle();
   }
   co_await socket_.async_wait(Tcp::socket::wait_read,
@@ -165,9 +166,9 @@
   if (!ec || HasMoreRequests()) {
     co_return true;
   }
-  // A request may be on its way while the connection is closed. With a plain
-  // close its caller could not tell whether it ran; this answer, which stands
-  // before the close, tells it that it did not.
+  // A request may be in transit while the connection is closed. With a plain
+  // close, the caller could not tell whether it ran; this answer before the
+  // close tells the caller that it did not.
   if (timed_out_ && !state_.options().names.closes_idle_silently) {
     Refuse(MakeFailure(FailureKind::kIdleTimeout));
   }
@@ -176,12 +177,13 @@
 
 asio::awaitable<std::optional<Failure>> CallerSession::ReadHead(
     Parser& parser) {
-  const auto most = static_cast<std::size_t>(state_.bounds().header_bytes);
+  const auto max_bytes =
+      static_cast<std::size_t>(state_.caller_limits().header_bytes);
   std::size_t end = std::string_view::npos;
   while (end == std::string_view::npos) {
     const std::string_view text = TextOf(buf_);
     end = text.find(kEndOfHead);
-    if (std::min(end, text.size()) > most) {
+    if (std::min(end, text.size()) > max_bytes) {
       co_return MakeFailure(FailureKind::kHeadTooLarge);
     }
     if (end != std::string_view::npos) {
@@ -223,7 +225,7 @@
   boost::system::error_code ec;
   const auto length = parser.content_length();
   if (length &&
-      *length > static_cast<std::uint64_t>(state_.bounds().body_bytes)) {
+      *length > static_cast<std::uint64_t>(state_.caller_limits().body_bytes)) {
     co_return MakeFailure(FailureKind::kBodyTooLarge);
   }
   if (parser.is_done()) {
@@ -232,7 +234,7 @@
   const bool waits = parser.get().count(http::field::expect) > 0 &&
                      parser.get().version() == 11 && buf_.size() == 0;
   if (waits) {
-    co_await AwaitTurns(1);
+    co_await AwaitPendingBelow(1);
     co_await asio::async_write(socket_, asio::buffer(kContinue),
                                asio::redirect_error(asio::use_awaitable, ec));
   }
@@ -245,15 +247,15 @@
   if (ec == http::error::body_limit) {
     co_return MakeFailure(FailureKind::kBodyTooLarge);
   }
-  // The parser's own errors are the caller's mistakes; any other means that
-  // the connection has ended.
+  // Parser errors are caused by the caller; any other error means that the
+  // connection has ended.
   lost_ = ec && (ec == http::error::partial_message ||
                  ec.category() == boost::system::system_category());
   if (ec) {
     co_return MakeFailure(FailureKind::kBadRequest, ec.message());
   }
-  // The head was checked before the body; a header that comes after it was
-  // not, and could name another customer or key.
+  // Only the head has been checked; a trailer after the body has not, and could
+  // name another customer or key.
   if (CountFields(parser.get()) != fields) {
     co_return MakeFailure(FailureKind::kBadRequest, "trailers after the body");
   }
@@ -262,12 +264,12 @@
 
 asio::awaitable<std::optional<Failure>> CallerSession::ReadRequest(
     Parser& parser) {
-  const CallerLimits bounds = state_.bounds();
-  parser.header_limit(static_cast<std::uint32_t>(bounds.header_bytes) +
+  const CallerLimits caller_limits = state_.caller_limits();
+  parser.header_limit(static_cast<std::uint32_t>(caller_limits.header_bytes) +
                       static_cast<std::uint32_t>(kEndOfHead.size()));
-  parser.body_limit(static_cast<std::uint64_t>(bounds.body_bytes));
+  parser.body_limit(static_cast<std::uint64_t>(caller_limits.body_bytes));
   parser.eager(true);
-  ArmTimer(bounds.header_timeout);
+  ArmTimer(caller_limits.header_timeout);
   std::optional<Failure> failure = co_await ReadHead(parser);
   if (!failure) {
     failure = co_await ReadBody(parser);
@@ -294,67 +296,69 @@
   co_return co_await Begin(parser.release());
 }
 
-asio::awaitable<void> CallerSession::AwaitTurns(std::size_t most) {
-  while (!lost_ && turns_.size() >= most) {
+asio::awaitable<void> CallerSession::AwaitPendingBelow(std::size_t count) {
+  while (!lost_ && pending_.size() >= count) {
     boost::system::error_code ec;
     changed_.expires_after(kPollInterval);
     co_await changed_.async_wait(asio::redirect_error(asio::use_awaitable, ec));
-    // Nothing is read meanwhile that would tell of a close.
+    // No read is pending that would detect a close.
     if (!lost_ && IsHungUp(socket_)) {
-      Lose();
+      OnConnectionLost();
     }
   }
 }
 
 asio::awaitable<bool> CallerSession::Begin(HttpRequest request) {
-  const auto turn = std::make_shared<Turn>();
-  turn->wants_more = request.keep_alive();
-  turn->head_only = request.method() == http::verb::head;
-  turn->is_safe = IsSafe(request.method());
+  const auto entry = std::make_shared<PendingRequest>();
+  entry->wants_more = request.keep_alive();
+  entry->head_only = request.method() == http::verb::head;
+  entry->is_safe = IsSafe(request.method());
   const bool waits_for_all =
-      !turn->is_safe || (!turns_.empty() && !turns_.back()->is_safe);
-  co_await AwaitTurns(waits_for_all ? 1 : kMostTurns);
+      !entry->is_safe || (!pending_.empty() && !pending_.back()->is_safe);
+  co_await AwaitPendingBelow(waits_for_all ? 1 : kMaxPendingRequests);
   if (lost_ || is_closing_) {
     co_return false;
   }
-  turn->handler = std::make_shared<CallHandler>(state_, loop_);
+  entry->handler = std::make_shared<CallHandler>(state_, loop_);
   is_reading_ = false;
-  turns_.push_back(turn);
-  asio::co_spawn(socket_.get_executor(), Answer(turn, std::move(request)),
+  pending_.push_back(entry);
+  asio::co_spawn(socket_.get_executor(), Answer(entry, std::move(request)),
                  asio::detached);
-  co_return turn->wants_more;
+  co_return entry->wants_more;
 }
 
-asio::awaitable<void> CallerSession::Answer(TurnPtr turn, HttpRequest request) {
+asio::awaitable<void> CallerSession::Answer(PendingRequestPtr entry,
+                                            HttpRequest request) {
   const auto self = shared_from_this();
-  turn->response = co_await turn->handler->Handle(std::move(request));
-  turn->handler.reset();
-  co_await WriteReady();
+  entry->response = co_await entry->handler->Handle(std::move(request));
+  entry->handler.reset();
+  co_await WriteReadyAnswers();
 }
 
-// A request that has already arrived is answered before the stop.
-bool CallerSession::StaysOpenAfter(const Turn& turn) {
-  return turn.wants_more && (!state_.stopping() || turns_.size() > 1 ||
-                             is_reading_ || HasMoreRequests());
+// Requests that have already arrived are answered before the connection is
+// closed.
+bool CallerSession::StaysOpenAfter(const PendingRequest& entry) {
+  return entry.wants_more && (!state_.stopping() || pending_.size() > 1 ||
+                              is_reading_ || HasMoreRequests());
 }
 
-asio::awaitable<void> CallerSession::WriteReady() {
+asio::awaitable<void> CallerSession::WriteReadyAnswers() {
   if (is_writing_) {
     co_return;
   }
   is_writing_ = true;
-  while (!turns_.empty() && turns_.front()->response) {
-    const TurnPtr turn = turns_.front();
-    const bool stays = StaysOpenAfter(*turn);
+  while (!pending_.empty() && pending_.front()->response) {
+    const PendingRequestPtr entry = pending_.front();
+    const bool stays = StaysOpenAfter(*entry);
     if (!lost_ && !is_closing_) {
       is_closing_ = !stays;
       const bool written =
-          co_await Write(std::move(*turn->response), stays, turn->head_only);
+          co_await Write(std::move(*entry->response), stays, entry->head_only);
       if (!written) {
-        Lose();
+        OnConnectionLost();
       }
     }
-    turns_.pop_front();
+    pending_.pop_front();
   }
   is_writing_ = false;
   EndWriting();
@@ -367,7 +371,7 @@
     socket_.cancel(ec);
     return;
   }
-  if (turns_.empty() && awaits_request_) {
+  if (pending_.empty() && awaits_request_) {
     BeginIdle();
   }
 }
@@ -378,7 +382,7 @@
   response.keep_alive(keep_alive);
   SetLength(response, head_only);
   boost::system::error_code ec;
-  write_timer_.expires_after(state_.bounds().header_timeout);
+  write_timer_.expires_after(state_.caller_limits().header_timeout);
   write_timer_.async_wait(
       [self = shared_from_this()](boost::system::error_code timer_ec) {
         if (!timer_ec && self->write_timer_.expiry() <= Clock::now()) {
@@ -398,18 +402,18 @@
   co_return !ec;
 }
 
-// Its answer goes out after those of the requests before it, and ends the
-// connection.
+// The refusal is written after the answers to all earlier requests and closes
+// the connection.
 void CallerSession::Refuse(Failure failure) {
   state_.counters().CountFailure(failure.kind);
-  const auto turn = std::make_shared<Turn>();
-  turn->response =
+  const auto entry = std::make_shared<PendingRequest>();
+  entry->response =
       RenderFailure(failure, Outcome::kNotRun, {}, state_.options().names);
-  turns_.push_back(turn);
+  pending_.push_back(entry);
   asio::co_spawn(
       socket_.get_executor(),
       [self = shared_from_this()]() -> asio::awaitable<void> {
-        co_await self->WriteReady();
+        co_await self->WriteReadyAnswers();
       },
       asio::detached);
 }
@@ -417,10 +421,10 @@
 asio::awaitable<void> CallerSession::Linger() {
   boost::system::error_code ec;
   socket_.shutdown(Tcp::socket::shutdown_send, ec);
-  // Closing with unread bytes makes the kernel send a reset, which can throw
-  // away the answer in the caller's own buffers.
+  // Closing a socket with unread bytes makes the kernel send a reset, which can
+  // discard the answer in the caller's receive buffer.
   std::array<char, kReadChunk> rest{};
-  ArmTimer(kLongestLinger);
+  ArmTimer(kMaxLinger);
   while (!ec && !lost_ && !timed_out_) {
     co_await socket_.async_read_some(
         asio::buffer(rest), asio::redirect_error(asio::use_awaitable, ec));
@@ -435,13 +439,13 @@
   while (co_await ServeOne()) {
   }
   if (lost_) {
-    Lose();
+    OnConnectionLost();
   }
-  // Also without its caller a call has to end before the connection does.
-  while (!turns_.empty()) {
-    co_await AwaitTurns(1);
+  // The session must outlive its calls, even if the caller is gone.
+  while (!pending_.empty()) {
+    co_await AwaitPendingBelow(1);
     boost::system::error_code ec;
-    if (!turns_.empty()) {
+    if (!pending_.empty()) {
       changed_.expires_after(kPollInterval);
       co_await changed_.async_wait(
           asio::redirect_error(asio::use_awaitable, ec));
@@ -453,7 +457,7 @@
 asio::awaitable<void> CallerSession::RunRefusal() {
   const auto self = shared_from_this();
   Refuse(MakeFailure(FailureKind::kTooManyConnections));
-  co_await AwaitTurns(1);
+  co_await AwaitPendingBelow(1);
   co_await Linger();
 }
 
--- a/proxy/caller_session.h
+++ b/proxy/caller_session.h
@@ -11,53 +11,54 @@
 
 namespace damasktack {
 
-// One caller's connection: reads requests one after another, refuses what is
-// malformed, and writes the answers in the order of the requests. Idempotent
-// methods that arrive before earlier answers are served at the same time. Lives
-// on one I/O thread.
+// One caller's connection: reads requests one after another, refuses malformed
+// ones, and writes the answers in the order of the requests. Pipelined requests
+// with safe methods are served concurrently. Used on one I/O thread only.
 class CallerSession : public std::enable_shared_from_this<CallerSession> {
  public:
   CallerSession(Tcp::socket socket, ProxyState& state, ProxyLoop& loop);
 
-  // Serves until either side closes.
+  // Serves requests until either side closes the connection.
   asio::awaitable<void> Run();
-  // Answers one connection more than the limit with 503 and closes it.
+  // Answers a connection over the connection limit with 503 and closes it.
   asio::awaitable<void> RunRefusal();
-  // The daemon is stopping: an idle connection ends soon.
+  // Called when the daemon is stopping: shortens the idle timeout.
   void OnStopping();
 
  private:
   using Parser = http::request_parser<http::string_body>;
 
-  // One request and its answer.
-  struct Turn {
+  // A request whose answer has not been written yet, with the answer once there
+  // is one.
+  struct PendingRequest {
     std::shared_ptr<CallHandler> handler;
     bool head_only = false;
     bool wants_more = false;
-    // By its method; such requests may overtake each other.
+    // Whether the method is safe; safe requests may run concurrently.
     bool is_safe = false;
     std::optional<HttpResponse> response;
   };
-  using TurnPtr = std::shared_ptr<Turn>;
+  using PendingRequestPtr = std::shared_ptr<PendingRequest>;
 
-  // Each is false, or a failure, where the connection is to end.
+  // The following functions return false, or a failure, if the connection must
+  // be closed.
   asio::awaitable<bool> ServeOne();
   asio::awaitable<bool> AwaitRequest();
   asio::awaitable<std::optional<Failure>> ReadRequest(Parser& parser);
   asio::awaitable<std::optional<Failure>> ReadHead(Parser& parser);
   asio::awaitable<std::optional<Failure>> ReadBody(Parser& parser);
   asio::awaitable<bool> Begin(HttpRequest request);
-  asio::awaitable<void> Answer(TurnPtr turn, HttpRequest request);
+  asio::awaitable<void> Answer(PendingRequestPtr entry, HttpRequest request);
   void Refuse(Failure failure);
-  // Waits until fewer than `most` answers are due, or nobody is left to get
-  // them.
-  asio::awaitable<void> AwaitTurns(std::size_t most);
-  // Writes what may be written now.
-  asio::awaitable<void> WriteReady();
+  // Waits until fewer than `count` requests are pending or the connection is
+  // lost.
+  asio::awaitable<void> AwaitPendingBelow(std::size_t count);
+  // Writes the answers that are complete and next in order.
+  asio::awaitable<void> WriteReadyAnswers();
   asio::awaitable<bool> Write(HttpResponse response,
                               bool keep_alive,
                               bool head_only);
-  // Ends the connection without destroying an answer that the caller has not
+  // Closes the connection without discarding an answer that the caller has not
   // read yet.
   asio::awaitable<void> Linger();
 
@@ -65,31 +66,32 @@
   void DisarmTimer();
   void BeginIdle();
   void EndWriting();
-  // The caller is gone: nothing more is written, and its calls are cancelled.
-  void Lose();
+  // Handles the loss of the connection: writes nothing more and cancels the
+  // caller's calls.
+  void OnConnectionLost();
   bool HasMoreRequests();
-  bool StaysOpenAfter(const Turn& turn);
+  bool StaysOpenAfter(const PendingRequest& entry);
 
   Tcp::socket socket_;
   ProxyState& state_;
   ProxyLoop& loop_;
-  // For what is read, and for what is written.
+  // Timeouts for reading and for writing.
   asio::steady_timer timer_;
   asio::steady_timer write_timer_;
-  // Cancelled at each change of `turns_`.
+  // Cancelled at each change of `pending_`.
   asio::steady_timer changed_;
-  // In the order of the requests.
-  std::deque<TurnPtr> turns_;
+  // In the order in which the requests arrived.
+  std::deque<PendingRequestPtr> pending_;
   beast::flat_buffer buf_;
   bool awaits_request_ = false;
-  // A request has begun to arrive and is not among the turns yet.
+  // A request has begun to arrive but is not in `pending_` yet.
   bool is_reading_ = false;
   bool is_idle_ = false;
   bool timed_out_ = false;
   bool is_writing_ = false;
-  // An answer has said that the connection ends.
+  // An answer has announced that the connection is closed after it.
   bool is_closing_ = false;
-  // The peer has closed or reset; there is nobody to answer.
+  // The peer has closed or reset the connection.
   bool lost_ = false;
 };
 
--- a/proxy/claim_answers.cc
+++ b/proxy/claim_answers.cc
@@ -17,14 +17,15 @@
   }
 }
 
-HttpResponse AnswerFrom(const KeptAnswer& kept) {
+HttpResponse ToHttpResponse(const KeptAnswer& kept) {
   HttpResponse answer(static_cast<http::status>(kept.status), 11);
   answer.set(http::field::content_type, kept.content_type);
   answer.body() = kept.body;
   return answer;
 }
 
-std::optional<KeptAnswer> KeptFrom(const std::optional<HttpResponse>& answer) {
+std::optional<KeptAnswer> ToKeptAnswer(
+    const std::optional<HttpResponse>& answer) {
   if (!answer) {
     return std::nullopt;
   }
--- a/proxy/claim_answers.h
+++ b/proxy/claim_answers.h
@@ -9,13 +9,15 @@
 
 namespace damasktack {
 
-// What a caller is told whose claim on a key was not granted.
+// Returns the failure to report to a caller whose claim on an idempotency key
+// was not granted.
 FailureKind KindOf(ClaimVerdict verdict);
 
-// The answer of an earlier call under the key, and what is kept of one; null
-// without an answer.
-HttpResponse AnswerFrom(const KeptAnswer& kept);
-std::optional<KeptAnswer> KeptFrom(const std::optional<HttpResponse>& answer);
+// Converts between an HTTP answer and the stored form of the answer to an
+// earlier call under the same key. ToKeptAnswer returns null without an answer.
+HttpResponse ToHttpResponse(const KeptAnswer& kept);
+std::optional<KeptAnswer> ToKeptAnswer(
+    const std::optional<HttpResponse>& answer);
 
 }  // namespace damasktack
 
--- a/proxy/claim_hold.h
+++ b/proxy/claim_hold.h
@@ -7,22 +7,22 @@
 
 namespace damasktack {
 
-// A granted claim that is settled exactly once, whatever becomes of its call:
-// the caller leaves while the grant is on its way, the call is refused, the
-// process stops. A grant that nobody settled would block its key for ever; one
+// Owns a granted claim and settles it exactly once, also if the caller
+// disconnects before the grant arrives, the call is refused, or the process
+// stops. A grant that is never settled would block its key permanently; one
 // settled as not run after a send would let the call run twice.
 class ClaimHold {
  public:
   ClaimHold(ClaimGate& gate, ClaimRequest request, std::uint64_t claim);
-  // Settles what was not settled: unknown once anything was sent, else not
-  // run.
+  // Settles the claim if this has not been done: as unknown if the call was
+  // sent, else as not run.
   ~ClaimHold();
   ClaimHold(const ClaimHold&) = delete;
   ClaimHold& operator=(const ClaimHold&) = delete;
 
-  // To be called before the first byte of the call goes to an endpoint.
+  // Must be called before the first byte of the call is sent to an endpoint.
   void MarkSent() { sent_ = true; }
-  // The first call counts.
+  // Only the first call has an effect.
   void Settle(Outcome outcome, std::optional<KeptAnswer> answer);
 
  private:
--- a/proxy/crash_check.cc
+++ b/proxy/crash_check.cc
@@ -6,18 +6,18 @@
 
 namespace {
 
-// One refusal may come from an endpoint that is full.
-constexpr int kRefusalsNeeded = 2;
-constexpr std::chrono::milliseconds kBetweenTries(200);
-// For a connection to be taken or refused.
-constexpr std::chrono::milliseconds kTryTimeout(250);
-
-// Whether the connection was refused. No answer says nothing: the path to the
-// endpoint may be cut.
+// A single refusal may come from an overloaded endpoint.
+constexpr int kRequiredRefusals = 2;
+constexpr std::chrono::milliseconds kRetryInterval(200);
+// Time for a connection to be accepted or refused.
+constexpr std::chrono::milliseconds kConnectTimeout(250);
+
+// Returns true if the connection was refused. A timeout is no evidence: the
+// network path to the endpoint may be down.
 asio::awaitable<bool> IsRefused(const Tcp::endpoint& peer) {
   const auto executor = co_await asio::this_coro::executor;
   const auto socket = std::make_shared<Tcp::socket>(executor);
-  asio::steady_timer timer(executor, kTryTimeout);
+  asio::steady_timer timer(executor, kConnectTimeout);
   timer.async_wait([socket](boost::system::error_code ec) {
     if (!ec) {
       socket->close(ec);
@@ -40,9 +40,9 @@
   const Tcp::endpoint peer(asio::ip::make_address(address.ip, ec),
                            address.port);
   asio::steady_timer pause(co_await asio::this_coro::executor);
-  for (int n = 0; n < kRefusalsNeeded; ++n) {
+  for (int n = 0; n < kRequiredRefusals; ++n) {
     if (n > 0) {
-      pause.expires_after(kBetweenTries);
+      pause.expires_after(kRetryInterval);
       co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, ec));
     }
     const bool is_refused = co_await IsRefused(peer);
--- a/proxy/crash_check.h
+++ b/proxy/crash_check.h
@@ -7,10 +7,11 @@
 
 namespace damasktack {
 
-// Finds out whether the endpoint's process has ended, by whether anything still
-// listens at its address, and tells the quarantine. A connection that broke
-// alone says little: endpoints reset connections when they are full, and
-// answers are lost on the way. `quarantine` must outlive the event loop.
+// Checks whether the endpoint's process has ended, by whether anything still
+// listens at its address, and reports the result to the quarantine. A broken
+// connection alone is not sufficient evidence: endpoints reset connections when
+// they are overloaded, and answers can be lost in the network. `quarantine`
+// must outlive the event loop.
 asio::awaitable<void> CheckForCrash(RequestQuarantine& quarantine,
                                     EndpointProcess endpoint,
                                     SocketAddress address);
--- a/proxy/endpoint_exchange.cc
+++ b/proxy/endpoint_exchange.cc
@@ -15,26 +15,26 @@
 constexpr unsigned kFirstClientError = 400;
 constexpr unsigned kFirstServerError = 500;
 constexpr unsigned kInformational = 1;
-// More interim answers than this before the final one are a fault.
-constexpr int kMostInterim = 16;
-// How recently a connection was used that counts as young.
-constexpr Duration kYoung = std::chrono::milliseconds(1000);
-// Answers to other calls that are passed over before the connection is given
-// up.
-constexpr int kMostStrays = 4;
-// Bytes that an endpoint's kernel has not acknowledged for so long show that
-// the path has lost the connection; three retransmissions lie within it. Calls
-// went out on connections that had been lost while they idled, and their
-// callers waited for their whole time.
-constexpr std::chrono::milliseconds kUnacknowledged(1000);
-// A request up to this size fits into the kernel's buffers, so that writing it
-// never waits for the endpoint.
-constexpr std::size_t kOneWrite = 16U << 10U;
+// More interim (1xx) answers before the final one are treated as a fault.
+constexpr int kMaxInterimAnswers = 16;
+// Maximum idle time of a connection that counts as recently used.
+constexpr Duration kRecentUse = std::chrono::milliseconds(1000);
+// Number of answers to other calls that are skipped before the connection is
+// abandoned.
+constexpr int kMaxStrayAnswers = 4;
+// If an endpoint's kernel has not acknowledged sent bytes for this long, the
+// network path has lost the connection; the time allows for three
+// retransmissions. Without this check, calls were sent on connections that had
+// been lost while idle, and their callers waited for their full timeout.
+constexpr std::chrono::milliseconds kUnacknowledgedTimeout(1000);
+// A request up to this size fits into the kernel's send buffer, so writing it
+// never blocks on the endpoint.
+constexpr std::size_t kMaxSingleWriteBytes = 16U << 10U;
 
-// Whether the end of the answer can be told from a connection that broke. An
-// answer that ends with the connection, or two readers of which would see two
-// ends, cannot be passed on as whole.
-bool EndIsMarked(const HttpResponse& answer, bool to_head) {
+// Whether the end of the answer can be distinguished from a broken connection.
+// An answer that ends when the connection is closed, or whose length headers
+// are ambiguous, cannot be passed on as complete.
+bool IsSelfDelimited(const HttpResponse& answer, bool to_head) {
   const auto lengths = answer.count(http::field::content_length);
   const auto codings = answer.count(http::field::transfer_encoding);
   if (lengths + codings > 1) {
@@ -70,9 +70,9 @@
   CloseConnection();
 }
 
-// A plain close stands in line behind the bytes that the endpoint has not read
-// yet, so an endpoint that reads no more would never learn of it; a reset
-// overtakes them.
+// A normal close is queued behind the bytes that the endpoint has not read yet,
+// so an endpoint that has stopped reading would never notice it. A reset takes
+// effect immediately.
 void EndpointExchange::CloseConnection() {
   boost::system::error_code ec;
   if (!wrote_all_) {
@@ -96,9 +96,9 @@
 
 asio::awaitable<bool> EndpointExchange::Connect() {
   const TimePoint now = Clock::now();
-  std::optional<Tcp::socket> idle = young_only_
-                                        ? pool_.TakeYoung(target_, kYoung, now)
-                                        : pool_.Take(target_, now);
+  std::optional<Tcp::socket> idle =
+      recent_only_ ? pool_.TakeRecentlyUsed(target_, kRecentUse, now)
+                   : pool_.Take(target_, now);
   if (idle) {
     socket_ = std::move(*idle);
     co_return true;
@@ -115,13 +115,14 @@
     co_return false;
   }
   socket_.set_option(Tcp::no_delay(true), ec);
-  EnableLostConnectionDetection(socket_.native_handle(), kUnacknowledged);
+  EnableLostConnectionDetection(socket_.native_handle(),
+                                kUnacknowledgedTimeout);
   co_return true;
 }
 
-// An endpoint may answer before it has read a long request, and read no more
-// of it: without a look at the other direction the write would wait until the
-// deadline for an answer that is already there.
+// An endpoint may answer a long request before it has read all of it, and then
+// stop reading. Unless incoming data is watched, the write would block until
+// the deadline although the answer has already arrived.
 void EndpointExchange::WatchForEarlyAnswer() {
   socket_.async_wait(Tcp::socket::wait_read,
                      [self = shared_from_this()](boost::system::error_code ec) {
@@ -131,11 +132,11 @@
                      });
 }
 
-// True where the whole request was written.
+// Returns true if the whole request was written.
 asio::awaitable<bool> EndpointExchange::Send(const HttpRequest& request) {
   boost::system::error_code ec;
   writing_ = true;
-  const bool is_long = request.body().size() > kOneWrite;
+  const bool is_long = request.body().size() > kMaxSingleWriteBytes;
   if (is_long) {
     WatchForEarlyAnswer();
   }
@@ -152,10 +153,10 @@
   co_return wrote_all_;
 }
 
-// Null where no whole answer came.
+// Returns null if no complete answer arrived.
 asio::awaitable<std::optional<HttpResponse>> EndpointExchange::ReadAnswer(
     bool to_head) {
-  for (int n = 0; n < kMostInterim; ++n) {
+  for (int n = 0; n < kMaxInterimAnswers; ++n) {
     http::response_parser<http::string_body> parser;
     parser.body_limit(limits_.answer_bytes);
     parser.header_limit(limits_.answer_header_bytes);
@@ -169,11 +170,11 @@
     if (parser.get().result_int() / 100 == kInformational) {
       continue;
     }
-    if (!EndIsKnown(parser.get(), to_head)) {
+    if (!HasAcceptableEnd(parser.get(), to_head)) {
       co_return std::nullopt;
     }
     HttpResponse answer = parser.release();
-    // Bytes beyond the answer belong to nothing that was asked.
+    // Bytes after the answer do not belong to any request.
     reusable_ = answer.keep_alive() && buf_.size() == 0;
     stated_idle_ =
         ParseKeepAliveTimeout(FromBeast(answer[http::field::keep_alive]));
@@ -182,21 +183,21 @@
   co_return std::nullopt;
 }
 
-bool EndpointExchange::EndIsKnown(const HttpResponse& answer,
-                                  bool to_head) const {
+bool EndpointExchange::HasAcceptableEnd(const HttpResponse& answer,
+                                        bool to_head) const {
   const bool has_no_end = answer.count(http::field::content_length) == 0 &&
                           answer.count(http::field::transfer_encoding) == 0;
-  return EndIsMarked(answer, to_head) ||
+  return IsSelfDelimited(answer, to_head) ||
          (has_no_end && names_.response_may_end_at_close);
 }
 
-// An endpoint may answer a call twice, and the second answer then stands where
-// the next call's is due: its caller would be told that the outcome is not
-// known although its own answer is right behind.
+// An endpoint may answer a call twice, and the second answer is then read in
+// place of the next call's answer. Without skipping it, that caller would be
+// told that the outcome is unknown although its answer follows directly.
 asio::awaitable<std::optional<HttpResponse>> EndpointExchange::ReadOwnAnswer(
     bool to_head,
     const std::string& expected_call) {
-  for (int n = 0; n < kMostStrays; ++n) {
+  for (int n = 0; n < kMaxStrayAnswers; ++n) {
     std::optional<HttpResponse> answer = co_await ReadAnswer(to_head);
     if (!answer || expected_call.empty()) {
       co_return answer;
@@ -205,8 +206,8 @@
     if (named == expected_call) {
       co_return answer;
     }
-    const bool is_refusal = Judge(*answer) == SendResult::kShed ||
-                            Judge(*answer) == SendResult::kMisdirected;
+    const bool is_refusal = ClassifyAnswer(*answer) == SendResult::kShed ||
+                            ClassifyAnswer(*answer) == SendResult::kMisdirected;
     if (named.empty() && is_refusal) {
       co_return answer;
     }
@@ -235,10 +236,11 @@
   return report;
 }
 
-// An endpoint that refuses what was meant for another also says that it did not
-// run it. Taken for one that is full, it was asked again by the next calls; and
-// a probe's answer had it look free, which drew them there.
-bool EndpointExchange::IsFromAnother(const HttpResponse& answer) const {
+// An endpoint that refuses a call meant for another endpoint also states that
+// it did not run it. When this was treated as overload, the next calls were
+// sent to the same address, and its answers to probes made it look idle, which
+// attracted further calls.
+bool EndpointExchange::IsFromOtherEndpoint(const HttpResponse& answer) const {
   if (answer.result() == http::status::misdirected_request &&
       !names_.expected_endpoint.empty()) {
     return true;
@@ -247,8 +249,8 @@
   return !named.empty() && named != target_.id.text();
 }
 
-SendResult EndpointExchange::Judge(const HttpResponse& answer) const {
-  if (IsFromAnother(answer)) {
+SendResult EndpointExchange::ClassifyAnswer(const HttpResponse& answer) const {
+  if (IsFromOtherEndpoint(answer)) {
     return SendResult::kMisdirected;
   }
   const bool is_error = answer.result_int() >= kFirstClientError;
@@ -275,7 +277,7 @@
     co_return SendResult::kBroken;
   }
   LogUnknownHeaders(*answer, names_);
-  const SendResult result = Judge(*answer);
+  const SendResult result = ClassifyAnswer(*answer);
   if (result != SendResult::kMisdirected) {
     out.report = ReadReport(*answer);
     out.signals = ReadEndpointSignals(*answer, names_);
@@ -284,24 +286,24 @@
   co_return result;
 }
 
-// What is reported where something ended the exchange from outside.
-SendResult EndpointExchange::ResultOf(SendResult result,
-                                      bool has_answer) const {
+// Returns the result to report if the exchange was aborted.
+SendResult EndpointExchange::FinalResult(SendResult result,
+                                         bool has_answer) const {
   if (!aborted_ || has_answer) {
     return result;
   }
-  // The time to connect is the endpoint's fault, the deadline is not.
+  // A connect timeout is the endpoint's fault; the call's deadline is not.
   const bool is_late_connect =
       !wrote_ && *aborted_ == SendResult::kTimedOut && Clock::now() < deadline_;
   return is_late_connect ? SendResult::kNotConnected : *aborted_;
 }
 
-void EndpointExchange::GiveBackConnection(bool draining) {
+void EndpointExchange::ReleaseConnection(bool draining) {
   if (reusable_ && !aborted_ && !draining) {
     pool_.Put(target_, std::move(socket_), Clock::now(), stated_idle_);
     return;
   }
-  pool_.Lose(target_.address);
+  pool_.Discard(target_.address);
   CloseConnection();
   if (draining) {
     pool_.CloseIdle(target_.address);
@@ -322,14 +324,14 @@
     out.result = co_await Transfer(request, expected_call, out);
   }
   timer_.expires_at(TimePoint::max());
-  out.result = ResultOf(out.result, out.answer.has_value());
+  out.result = FinalResult(out.result, out.answer.has_value());
   out.wrote = wrote_;
   out.bytes = bytes_;
   out.took = Clock::now() - started_at_;
   const bool is_draining =
       (out.report && out.report->mode == EndpointMode::kDraining) ||
       (out.signals && out.signals->leaving);
-  GiveBackConnection(is_draining);
+  ReleaseConnection(is_draining);
   aborted_ = SendResult::kCancelled;
   co_return out;
 }
--- a/proxy/endpoint_exchange.h
+++ b/proxy/endpoint_exchange.h
@@ -23,19 +23,20 @@
 
 struct ExchangeResult {
   SendResult result = SendResult::kNotConnected;
-  // Whether any byte of the request was handed to the kernel. Without one the
-  // request surely did not run, whatever ended the exchange.
+  // Whether any byte of the request was handed to the kernel. If not, the
+  // request certainly did not run, whatever ended the exchange.
   bool wrote = false;
   // Present for kAnswered, kFailed and kShed.
   std::optional<HttpResponse> answer;
   std::optional<EndpointReport> report;
   std::optional<EndpointSignals> signals;
   Duration took{};
-  // Bytes sent and received.
+  // Total bytes sent and received.
   std::uint64_t bytes = 0;
 };
 
-// One send of one request to one endpoint, on one I/O thread.
+// Sends one request to one endpoint once and reads the answer. Used on one I/O
+// thread only.
 class EndpointExchange : public std::enable_shared_from_this<EndpointExchange> {
  public:
   EndpointExchange(asio::any_io_executor executor,
@@ -44,42 +45,43 @@
                    ExchangeLimits limits,
                    const ProtocolNames& names);
 
-  // Sends `request` and reads the whole answer, or ends by `deadline`. Where
-  // `expected_call` is not empty the answer must repeat it.
+  // Sends `request` and reads the complete answer; gives up at `deadline`. If
+  // `expected_call` is not empty, the answer must repeat this call id.
   asio::awaitable<ExchangeResult> Run(const HttpRequest& request,
                                       TimePoint deadline,
                                       std::string expected_call);
 
-  // For a call that may run once only. An endpoint may have dropped a
-  // connection that was idle without a word, and the outcome of what is sent on
-  // it next is unknown; one that answered a moment ago is hardly ever dropped.
-  void UseYoungConnection() { young_only_ = true; }
+  // Allows only a new or a recently used connection, for calls that must not
+  // run twice. An endpoint may have dropped an idle connection without closing
+  // it, and then the outcome of the next request on it is unknown; a connection
+  // that was used a moment ago is very unlikely to be dropped.
+  void RequireRecentConnection() { recent_only_ = true; }
 
-  // Ends the exchange now by closing its connection, which is how an endpoint
-  // learns of a cancellation. Does nothing after Run has ended.
+  // Aborts the exchange by closing its connection, which tells the endpoint
+  // that the call is cancelled. Has no effect after Run has returned.
   void Cancel();
 
  private:
   asio::awaitable<bool> Connect();
   asio::awaitable<bool> Send(const HttpRequest& request);
   asio::awaitable<std::optional<HttpResponse>> ReadAnswer(bool to_head);
-  // Reads on past answers that belong to other calls.
+  // Reads answers, skipping those that belong to other calls.
   asio::awaitable<std::optional<HttpResponse>> ReadOwnAnswer(
       bool to_head,
       const std::string& expected_call);
-  bool EndIsKnown(const HttpResponse& answer, bool to_head) const;
+  bool HasAcceptableEnd(const HttpResponse& answer, bool to_head) const;
   std::optional<EndpointReport> ReadReport(const HttpResponse& answer) const;
   asio::awaitable<SendResult> Transfer(const HttpRequest& request,
                                        const std::string& expected_call,
                                        ExchangeResult& out);
-  bool IsFromAnother(const HttpResponse& answer) const;
-  SendResult Judge(const HttpResponse& answer) const;
-  SendResult ResultOf(SendResult result, bool has_answer) const;
+  bool IsFromOtherEndpoint(const HttpResponse& answer) const;
+  SendResult ClassifyAnswer(const HttpResponse& answer) const;
+  SendResult FinalResult(SendResult result, bool has_answer) const;
   void StartTimer(TimePoint deadline);
   void WatchForEarlyAnswer();
   void Abort(SendResult reason);
   void CloseConnection();
-  void GiveBackConnection(bool draining);
+  void ReleaseConnection(bool draining);
 
   EndpointPool& pool_;
   const EndpointTarget target_;
@@ -91,14 +93,14 @@
   TimePoint started_at_;
   TimePoint deadline_;
   std::optional<SendResult> aborted_;
-  // How long the endpoint keeps the connection unused, where it said so.
+  // The endpoint's idle timeout for the connection, if it stated one.
   std::optional<Duration> stated_idle_;
   std::uint64_t bytes_ = 0;
   bool wrote_ = false;
   bool wrote_all_ = false;
   bool writing_ = false;
   bool reusable_ = false;
-  bool young_only_ = false;
+  bool recent_only_ = false;
 };
 
 }  // namespace damasktack
--- a/proxy/endpoint_pool.cc
+++ b/proxy/endpoint_pool.cc
@@ -9,14 +9,15 @@
 
 namespace {
 
-// A connection is given up so long before its endpoint closes it: a request
-// needs some of that time to arrive.
-constexpr Duration kBeforeClose = std::chrono::milliseconds(500);
-
-// An endpoint that sends bytes nobody asked for would have them taken for the
-// answer to the next call; one that has closed would make that call's outcome
-// unknown. Either shows as a readable socket, so only a silent one is fit.
-bool IsSilent(Tcp::socket& socket) {
+// A connection is not used in this time before its endpoint closes it, because
+// a request needs some time to arrive.
+constexpr Duration kCloseMargin = std::chrono::milliseconds(500);
+
+// Unsolicited bytes from an endpoint would be taken for the answer to the next
+// call, and on a connection that the endpoint has closed that call's outcome
+// would be unknown. Both make the socket readable, so only a socket without
+// input is usable.
+bool HasNoPendingInput(Tcp::socket& socket) {
   char byte = 0;
   const ssize_t n =
       recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -25,26 +26,26 @@
 
 }  // namespace
 
-EndpointPool::EndpointPool(Duration longest_idle)
-    : longest_idle_(longest_idle) {}
+EndpointPool::EndpointPool(Duration max_idle) : max_idle_(max_idle) {}
 
 std::optional<Tcp::socket> EndpointPool::Take(const EndpointTarget& target,
                                               TimePoint now) {
-  return TakeWithin(target, longest_idle_, now);
+  return TakeWithin(target, max_idle_, now);
 }
 
-std::optional<Tcp::socket> EndpointPool::TakeYoung(const EndpointTarget& target,
-                                                   Duration youngest,
-                                                   TimePoint now) {
-  return TakeWithin(target, std::min(youngest, longest_idle_), now);
+std::optional<Tcp::socket> EndpointPool::TakeRecentlyUsed(
+    const EndpointTarget& target,
+    Duration max_idle,
+    TimePoint now) {
+  return TakeWithin(target, std::min(max_idle, max_idle_), now);
 }
 
-// Connections to a process that has ended without closing them swallow what is
-// sent: the next call there would wait until its deadline, with an outcome that
-// nobody knows. Once another process is meant, none of them is used.
+// Requests on connections to a process that ended without closing them are
+// lost: the next call would wait until its deadline, with an unknown outcome.
+// Therefore all connections are dropped once the target is another process.
 std::optional<Tcp::socket> EndpointPool::TakeWithin(
     const EndpointTarget& target,
-    Duration longest,
+    Duration max_idle,
     TimePoint now) {
   Connections& connections = by_address_[target.address];
   if (!connections.BelongTo(target)) {
@@ -57,10 +58,10 @@
   while (!idle.empty()) {
     Idle last = std::move(idle.back());
     idle.pop_back();
-    // An endpoint closes what idles for too long; a call written just then
-    // has an unknown outcome. Young connections do not meet that moment.
-    const bool is_fit = now < last.until && now - last.since < longest;
-    if (is_fit && IsSilent(last.socket)) {
+    // A call that is written while the endpoint closes an idle connection has
+    // an unknown outcome. Recently used connections are not affected.
+    const bool is_usable = now < last.until && now - last.since < max_idle;
+    if (is_usable && HasNoPendingInput(last.socket)) {
       return std::move(last.socket);
     }
   }
@@ -71,18 +72,18 @@
                        Tcp::socket socket,
                        TimePoint now,
                        std::optional<Duration> stated_idle) {
-  Lose(target.address);
+  Discard(target.address);
   Connections& connections = by_address_[target.address];
   const bool has_room =
       connections.used + connections.idle.size() < target.connections;
   if (has_room && connections.BelongTo(target)) {
     const Duration idle = std::min(
-        longest_idle_, stated_idle.value_or(Duration::max()) - kBeforeClose);
+        max_idle_, stated_idle.value_or(Duration::max()) - kCloseMargin);
     connections.idle.push_back(Idle{std::move(socket), now, now + idle});
   }
 }
 
-void EndpointPool::Lose(const SocketAddress& address) {
+void EndpointPool::Discard(const SocketAddress& address) {
   --by_address_[address].used;
 }
 
--- a/proxy/endpoint_pool.h
+++ b/proxy/endpoint_pool.h
@@ -15,42 +15,46 @@
 
 namespace damasktack {
 
-// Where to connect, and how many connections this I/O thread may keep there:
-// its part of what the endpoint accepts from the whole fleet.
+// An endpoint to connect to and the number of connections that this I/O thread
+// may keep to it, which is the thread's share of the connections that the
+// endpoint accepts from the whole fleet.
 struct EndpointTarget {
   SocketAddress address;
   std::size_t connections = 1;
-  // Whom the request is meant for; the address may have passed to another.
+  // The endpoint that the request is meant for; its address may have been
+  // reassigned to another endpoint.
   EndpointId id = {};
   std::string health_path = {};
   EndpointStart started_at = {};
 };
 
-// Idle connections to endpoints, for one I/O thread. Counts the ones in use
-// too, so that idle and used together stay within the thread's part.
+// Pool of idle connections to endpoints, for one I/O thread. Also counts the
+// connections in use, so that idle and used connections together stay within
+// the thread's share.
 class EndpointPool {
  public:
-  // Connections idle for longer than `longest_idle` are closed.
-  explicit EndpointPool(Duration longest_idle);
+  // Connections that have been idle for longer than `max_idle` are closed.
+  explicit EndpointPool(Duration max_idle);
 
-  // An idle connection that is fit for a call, if there is one. Every Take is
-  // followed by one Put or one Lose.
+  // Returns a usable idle connection, or null if there is none. Each Take must
+  // be followed by exactly one Put or Discard.
   std::optional<Tcp::socket> Take(const EndpointTarget& target, TimePoint now);
-  // The same with one that was used within `youngest` only.
-  std::optional<Tcp::socket> TakeYoung(const EndpointTarget& target,
-                                       Duration youngest,
-                                       TimePoint now);
-  // Gives back a connection whose last answer ended cleanly. `stated_idle` is
-  // how long its endpoint said it keeps it unused, if it did.
+  // Like Take, but only returns a connection that was used within `max_idle`.
+  std::optional<Tcp::socket> TakeRecentlyUsed(const EndpointTarget& target,
+                                              Duration max_idle,
+                                              TimePoint now);
+  // Returns a connection to the pool after an answer that ended cleanly.
+  // `stated_idle` is the endpoint's own idle timeout, if it stated one.
   void Put(const EndpointTarget& target,
            Tcp::socket socket,
            TimePoint now,
            std::optional<Duration> stated_idle = std::nullopt);
-  // The connection taken, or opened instead, has ended.
-  void Lose(const SocketAddress& address);
-  // Closes the idle connections to an endpoint that is leaving.
+  // Records that a connection from Take, or one opened in its place, has been
+  // closed.
+  void Discard(const SocketAddress& address);
+  // Closes the idle connections to an endpoint that is shutting down.
   void CloseIdle(const SocketAddress& address);
-  // Closes what has been idle for too long.
+  // Closes connections that have been idle for too long.
   void Expire(TimePoint now);
   void CloseAll();
 
@@ -65,7 +69,7 @@
   struct Connections {
     std::vector<Idle> idle;
     std::size_t used = 0;
-    // Whose connections these are.
+    // The endpoint process that these connections belong to.
     EndpointId id;
     EndpointStart started_at;
 
@@ -75,10 +79,10 @@
   };
 
   std::optional<Tcp::socket> TakeWithin(const EndpointTarget& target,
-                                        Duration longest,
+                                        Duration max_idle,
                                         TimePoint now);
 
-  const Duration longest_idle_;
+  const Duration max_idle_;
   std::map<SocketAddress, Connections> by_address_;
 };
 
--- a/proxy/endpoint_report_codec.cc
+++ b/proxy/endpoint_report_codec.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::int32_t kMostPlausible = 1'000'000;
+constexpr std::int32_t kMaxPlausibleCount = 1'000'000;
 
 std::string_view Trim(std::string_view text) {
   while (!text.empty() && text.front() == ' ') {
@@ -24,7 +24,7 @@
   const auto parsed =
       std::from_chars(text.data(), text.data() + text.size(), out);
   return parsed.ec == std::errc() && parsed.ptr == text.data() + text.size() &&
-         out >= 0 && out <= kMostPlausible;
+         out >= 0 && out <= kMaxPlausibleCount;
 }
 
 bool ParseMode(std::string_view text, EndpointMode& out) {
@@ -59,22 +59,22 @@
   if (name == "mode") {
     return ParseMode(value, report.mode);
   }
-  // A field from a newer endpoint is not a fault.
+  // Unknown fields come from newer endpoints and are ignored.
   return true;
 }
 
 constexpr double kUsualPacePercent = 100;
-constexpr std::size_t kLeastFigures = 3;
-constexpr std::size_t kMostFigures = 4;
+constexpr std::size_t kMinFigures = 3;
+constexpr std::size_t kMaxFigures = 4;
 
 }  // namespace
 
 std::optional<EndpointReport> ParseEndpointLoadList(std::string_view text,
                                                     TimePoint now) {
-  std::array<std::int32_t, kMostFigures> figures{
+  std::array<std::int32_t, kMaxFigures> figures{
       0, 0, 0, static_cast<std::int32_t>(kUsualPacePercent)};
   std::size_t n = 0;
-  while (n < kMostFigures) {
+  while (n < kMaxFigures) {
     const std::size_t comma = text.find(',');
     if (!ParseCount(Trim(text.substr(0, comma)), figures[n])) {
       return std::nullopt;
@@ -85,7 +85,7 @@
     }
     text.remove_prefix(comma + 1);
   }
-  if (n < kLeastFigures || figures[2] == 0) {
+  if (n < kMinFigures || figures[2] == 0) {
     return std::nullopt;
   }
   EndpointReport report;
--- a/proxy/endpoint_report_codec.h
+++ b/proxy/endpoint_report_codec.h
@@ -10,22 +10,24 @@
 
 namespace damasktack {
 
-// How endpoints say what load they carry, in one place because it is the part
-// of an endpoint's protocol most likely to differ from one user to another.
+// Parsers for endpoints' load reports. They are kept in one place because this
+// part of the endpoint protocol is the most likely to differ between
+// deployments.
 inline constexpr std::string_view kProbePath = "/load";
 
-// Null where the text is not a whole, plausible report; a report that cannot
-// be read counts as none.
+// Parses a report such as "in_flight=3,queued=0,slots=8". Returns null if the
+// text is not a complete and plausible report; an invalid report is treated as
+// absent.
 std::optional<EndpointReport> ParseEndpointLoad(std::string_view text,
                                                 TimePoint now);
 
-// The same for "running,waiting,slots[,pace]": counts, and how long work takes
-// there at the moment in percent of the usual.
+// Parses the positional form "running,waiting,slots[,pace]": three counts, and
+// the current processing time in percent of the usual one.
 std::optional<EndpointReport> ParseEndpointLoadList(std::string_view text,
                                                     TimePoint now);
 
-// How much longer an endpoint stays cold, in whole milliseconds. Null where the
-// text is empty or says no plausible time.
+// Parses the time for which an endpoint remains cold, in whole milliseconds.
+// Returns null if the text is empty or implausible.
 std::optional<Duration> ParseColdTime(std::string_view text);
 
 }  // namespace damasktack
--- a/proxy/endpoint_signals_codec.cc
+++ b/proxy/endpoint_signals_codec.cc
@@ -13,14 +13,14 @@
 
 namespace {
 
-// Lines on headers that cannot be read that one process writes.
-constexpr int kMostLines = 16;
-// A longer rest is taken as this long: the endpoint has then been replaced.
-constexpr std::chrono::hours kLongestRest(24);
+// Maximum warnings about invalid headers that one process logs.
+constexpr int kMaxWarnings = 16;
+// Longer pauses are cut to this value; by then the endpoint has been replaced.
+constexpr std::chrono::hours kMaxRest(24);
 
-// The first of the headers that the answer has; empty without any.
-std::string_view FirstOf(const HttpResponse& answer,
-                         const std::vector<std::string>& names) {
+// Returns the first of these headers that the answer has, or an empty text.
+std::string_view FirstPresent(const HttpResponse& answer,
+                              const std::vector<std::string>& names) {
   for (const std::string& it : names) {
     const auto text = FromBeast(answer[it]);
     if (!text.empty()) {
@@ -30,8 +30,8 @@
   return {};
 }
 
-// A refusal that the endpoint passes on from a further hop says nothing of the
-// endpoint itself.
+// A refusal that the endpoint only passes on from a hop behind it says nothing
+// about the endpoint itself.
 bool IsOwnRefusal(const HttpResponse& answer, const ProtocolNames& names) {
   const bool is_refusal =
       answer.result() == http::status::service_unavailable ||
@@ -39,9 +39,9 @@
   return is_refusal && answer.count(names.outcome) == 0;
 }
 
-void LogRefused(std::string_view what, std::string_view text) {
+void LogInvalidHeader(std::string_view what, std::string_view text) {
   static std::atomic<int> lines = 0;
-  if (lines < kMostLines && lines.fetch_add(1) < kMostLines) {
+  if (lines < kMaxWarnings && lines.fetch_add(1) < kMaxWarnings) {
     spdlog::warn(
         "event=endpoint-header-refused what={} value=\"{}\" "
         "remedy=\"send a decimal number that is not negative\"",
@@ -69,7 +69,7 @@
   }
   using Seconds = std::chrono::duration<double>;
   return std::chrono::duration_cast<Duration>(
-      std::min(Seconds(*seconds), Seconds(kLongestRest)));
+      std::min(Seconds(*seconds), Seconds(kMaxRest)));
 }
 
 std::optional<Duration> ParseKeepAliveTimeout(std::string_view text) {
@@ -88,12 +88,12 @@
   if (IsOwnRefusal(answer, names)) {
     signals.rest = ParseSeconds(FromBeast(answer[http::field::retry_after]));
   }
-  signals.leaving = FirstOf(answer, names.leaving) == "1";
-  const std::string_view limit = FirstOf(answer, names.rate_limit);
+  signals.leaving = FirstPresent(answer, names.leaving) == "1";
+  const std::string_view limit = FirstPresent(answer, names.rate_limit);
   if (!limit.empty()) {
     signals.rate_limit = ParseRate(limit);
     if (!signals.rate_limit) {
-      LogRefused("rate-limit", limit);
+      LogInvalidHeader("rate-limit", limit);
     }
   }
   return signals;
--- a/proxy/endpoint_signals_codec.h
+++ b/proxy/endpoint_signals_codec.h
@@ -11,18 +11,22 @@
 
 namespace damasktack {
 
-// A decimal number of requests a second, "1.5"; null where the text is none.
+// Parses a decimal number of requests per second, such as "1.5". Returns null
+// if the text is invalid.
 std::optional<double> ParseRate(std::string_view text);
 
-// Seconds, with or without a fraction, as in Retry-After; null where the text
-// is none. A date is none: endpoints' clocks differ from this host's.
+// Parses a number of seconds, with or without a fraction, as in Retry-After.
+// Returns null if the text is invalid. A date is rejected, because endpoints'
+// clocks may differ from this host's clock.
 std::optional<Duration> ParseSeconds(std::string_view text);
 
-// The timeout of a Keep-Alive header, "timeout=5, max=100"; null without one.
+// Parses the timeout from a Keep-Alive header such as "timeout=5, max=100".
+// Returns null without one.
 std::optional<Duration> ParseKeepAliveTimeout(std::string_view text);
 
-// What the answer says besides the load. A header that cannot be read counts as
-// absent, and is logged for the first answers that have one.
+// Reads the signals other than the load report from an answer: pause, shutdown
+// and rate limit. An invalid rate limit is treated as absent and logged for the
+// first few answers that have one.
 EndpointSignals ReadEndpointSignals(const HttpResponse& answer,
                                     const ProtocolNames& names);
 
--- a/proxy/failure.cc
+++ b/proxy/failure.cc
@@ -17,7 +17,7 @@
   std::string_view name;
   http::status status;
   std::string_view remedy;
-  // Zero: a new try of the same request has no better chance.
+  // Zero if a retry of the same request cannot succeed.
   seconds retry_after;
 };
 
--- a/proxy/failure.h
+++ b/proxy/failure.h
@@ -13,8 +13,9 @@
 
 namespace damasktack {
 
-// Why a caller gets an answer that no endpoint gave. The table in failure.cc
-// has the status, the name and the remedy of each.
+// Reasons for which damasktack answers a caller itself instead of passing on an
+// endpoint's answer. The table in failure.cc lists status, name and remedy for
+// each.
 enum class FailureKind : std::uint8_t {
   kBadRequest,
   kRequestTimeout,
@@ -48,18 +49,18 @@
 };
 inline constexpr std::size_t kFailureKindCount = 29;
 
-// The name in answers and metrics.
+// Returns the name used in answers and metrics.
 std::string_view ToString(FailureKind kind);
 
 struct Failure {
   FailureKind kind = FailureKind::kBadRequest;
-  // What was found, where that helps the caller; may be empty.
+  // Details of the fault that help the caller; may be empty.
   std::string found;
-  // When a new try has a chance; null where none has.
+  // Time after which a retry may succeed; null if a retry is pointless.
   std::optional<Duration> retry_after;
 
-  // Takes what is known of this case in place of what is usual; zero says that
-  // nothing is.
+  // Replaces the default wait of this kind of failure by a value known for this
+  // case; zero means that none is known.
   void SetRetryAfter(Duration known) {
     if (known > Duration::zero()) {
       retry_after = known;
@@ -67,14 +68,14 @@
   }
 };
 
-// A failure with the wait before a new try that is usual for its kind.
+// Returns a failure with the default retry wait of its kind.
 Failure MakeFailure(FailureKind kind, std::string found = "");
 FailureKind KindOf(Refusal refusal);
-// For sends that ended without an answer of the endpoint.
+// For sends that ended without an answer from the endpoint.
 FailureKind KindOf(SendResult result);
 
-// The answer as the caller gets it: JSON with kind, remedy, call and outcome.
-// `call` is empty where the request was refused before it was a call.
+// Renders the answer for the caller: JSON with kind, remedy, call and outcome.
+// `call` is empty if the request was refused before it got a call id.
 HttpResponse RenderFailure(const Failure& failure,
                            Outcome outcome,
                            const CallId& call,
--- a/proxy/header_rewrite.cc
+++ b/proxy/header_rewrite.cc
@@ -19,13 +19,13 @@
          name == http::field::proxy_authorization;
 }
 
-bool IsOwn(std::string_view name, std::string_view prefix) {
+bool IsProxyHeader(std::string_view name, std::string_view prefix) {
   return name.size() >= prefix.size() &&
          beast::iequals(ToBeast(name.substr(0, prefix.size())),
                         ToBeast(prefix));
 }
 
-// Names that the sender says concern its connection only.
+// Returns the headers that the Connection header declares as hop-by-hop.
 std::vector<std::string> NamedInConnection(const http::fields& fields) {
   std::vector<std::string> names;
   for (const auto& it : http::token_list(fields[http::field::connection])) {
@@ -43,12 +43,12 @@
   }
 }
 
-void RemoveOwn(http::fields& fields, std::string_view prefix) {
+void RemoveProxyHeaders(http::fields& fields, std::string_view prefix) {
   if (prefix.empty()) {
     return;
   }
   for (auto it = fields.begin(); it != fields.end();) {
-    const bool is_own = IsOwn(FromBeast(it->name_string()), prefix);
+    const bool is_own = IsProxyHeader(FromBeast(it->name_string()), prefix);
     it = is_own ? fields.erase(it) : std::next(it);
   }
 }
@@ -81,13 +81,14 @@
                         std::int64_t depth,
                         const ProtocolNames& names) {
   RemoveHopByHop(request);
-  RemoveOwn(request, names.own_header_prefix);
+  RemoveProxyHeaders(request, names.own_header_prefix);
   if (!names.callers_assign_call_ids) {
     SetNamed(request, names.call, call.text());
   }
   SetNamed(request, names.depth, std::to_string(depth));
   if (request.count(http::field::host) == 0) {
-    // Allowed in HTTP/1.0; the call goes on as HTTP/1.1, which wants one.
+    // HTTP/1.0 allows requests without Host, but the call is sent on as
+    // HTTP/1.1, which requires one.
     request.set(http::field::host, "");
   }
   request.version(11);
--- a/proxy/header_rewrite.h
+++ b/proxy/header_rewrite.h
@@ -12,24 +12,26 @@
 
 namespace damasktack {
 
-// A number in a header; null where it is absent or not all digits.
+// Returns the number in a header, or null if it is absent or not all digits.
 std::optional<std::int64_t> ReadNumber(const http::fields& fields,
                                        std::string_view name);
 
-// Makes a caller's request fit to be sent on: without the headers that concern
-// its own connection only, and without any of damasktack's that the caller
-// wrote. The customer's key never reaches an endpoint.
+// Prepares a caller's request for an endpoint: removes the hop-by-hop headers
+// and all damasktack headers that the caller sent, then sets damasktack's own.
+// The customer's key never reaches an endpoint.
 void PrepareForEndpoint(HttpRequest& request,
                         const CallId& call,
                         std::int64_t depth,
                         const ProtocolNames& names);
 
-// The same for an endpoint's answer; `for_head` keeps Content-Length.
+// Prepares an endpoint's answer for the caller by removing hop-by-hop and load
+// headers. Content-Length is kept only if `for_head` is set.
 void PrepareForCaller(HttpResponse& answer,
                       bool for_head,
                       const ProtocolNames& names);
 
-// Sets a header that the deployment may not have.
+// Sets a header, unless its name is empty because the deployment does not use
+// it.
 void SetNamed(http::fields& fields,
               const std::string& name,
               std::string_view value);
--- a/proxy/http_types.h
+++ b/proxy/http_types.h
@@ -18,7 +18,7 @@
 using HttpRequest = http::request<http::string_body>;
 using HttpResponse = http::response<http::string_body>;
 
-// Headers of callers only; contract/protocol_names.h has the others.
+// Headers that only callers send; contract/protocol_names.h has the others.
 inline constexpr std::string_view kKeyHeader = "Damasktack-Key";
 inline constexpr std::string_view kIdempotencyKeyHeader = "Idempotency-Key";
 
--- a/proxy/loop_door.h
+++ b/proxy/loop_door.h
@@ -8,17 +8,18 @@
 
 namespace damasktack {
 
-// Hands work to one event loop from any thread. Whoever keeps a callback for
-// longer than the loop may live (a gate, a balancer) holds the door instead of
-// an executor: without it a late callback would post to a loop that is gone.
+// Posts work to one event loop from any thread. Callbacks that may outlive the
+// loop (in a gate or a balancer) hold this object instead of an executor,
+// because a late callback would otherwise post to a destroyed loop.
 class LoopDoor {
  public:
   explicit LoopDoor(asio::io_context& context);
 
-  // Drops the work where the loop has ended. Work that the loop no longer gets
-  // to is destroyed with it, so what must happen goes into a destructor.
+  // Discards the work if the loop has ended. Work that the loop does not get to
+  // run is destroyed with the loop, so anything that must happen belongs in a
+  // destructor.
   void Post(std::function<void()> work);
-  // After it returns nothing is posted any more.
+  // Nothing is posted after this returns.
   void Close();
 
  private:
--- a/proxy/proxy_counters.h
+++ b/proxy/proxy_counters.h
@@ -10,7 +10,7 @@
 
 namespace damasktack {
 
-// Counts of one daemon's callers' side. Safe to use from several threads.
+// Counters for the caller side of one daemon. Thread-safe.
 class ProxyCounters {
  public:
   void CountFailure(FailureKind kind) {
@@ -20,14 +20,14 @@
     return failures_[static_cast<std::size_t>(kind)];
   }
 
-  // A call was sent to an endpoint that is believed cold.
+  // Counts a call that is sent to an endpoint considered cold.
   void CountColdSend() { ++cold_sends_; }
 
   std::atomic<std::int64_t>& connections() { return connections_; }
   std::atomic<std::int64_t>& calls_in_flight() { return calls_in_flight_; }
   std::int64_t calls_in_flight() const { return calls_in_flight_; }
 
-  // The Prometheus text format.
+  // Returns all counters in the Prometheus text format.
   std::string Render(bool stopping) const;
 
  private:
--- a/proxy/proxy_loop.cc
+++ b/proxy/proxy_loop.cc
@@ -6,12 +6,13 @@
     : pool_(endpoint_idle),
       context_(std::make_unique<asio::io_context>(1)),
       work_(context_->get_executor()),
-      door_(std::make_shared<LoopDoor>(*context_)) {}
+      poster_(std::make_shared<LoopDoor>(*context_)) {}
 
 ProxyLoop::~ProxyLoop() {
   Stop();
-  // The idle sockets belong to the event loop, and the suspended calls that
-  // it destroys refer to the pool.
+  // The idle sockets must be closed before the event loop is destroyed. The
+  // pool itself must outlive the loop, because the suspended calls that are
+  // destroyed with it refer to the pool.
   pool_.CloseAll();
   work_.reset();
   context_.reset();
@@ -22,7 +23,7 @@
 }
 
 void ProxyLoop::Stop() {
-  door_->Close();
+  poster_->Close();
   context_->stop();
   if (thread_.joinable()) {
     thread_.join();
--- a/proxy/proxy_loop.h
+++ b/proxy/proxy_loop.h
@@ -12,12 +12,12 @@
 
 class CallerSession;
 
-// One I/O thread with what belongs to it alone: its event loop, its idle
-// connections to endpoints and the callers that it serves.
+// One I/O thread with its own event loop, its idle connections to endpoints and
+// the caller sessions that it serves.
 class ProxyLoop {
  public:
   explicit ProxyLoop(Duration endpoint_idle);
-  // Ends the thread; what is still in flight is cut.
+  // Stops the thread and aborts all calls in flight.
   ~ProxyLoop();
 
   void Start();
@@ -25,8 +25,8 @@
 
   asio::io_context& context() { return *context_; }
   EndpointPool& pool() { return pool_; }
-  const std::shared_ptr<LoopDoor>& door() const { return door_; }
-  // Of the loop's own thread only.
+  const std::shared_ptr<LoopDoor>& poster() const { return poster_; }
+  // Must be used on the loop's own thread only.
   std::unordered_set<CallerSession*>& sessions() { return sessions_; }
 
  private:
@@ -34,7 +34,7 @@
   std::unordered_set<CallerSession*> sessions_;
   std::unique_ptr<asio::io_context> context_;
   asio::executor_work_guard<asio::io_context::executor_type> work_;
-  std::shared_ptr<LoopDoor> door_;
+  std::shared_ptr<LoopDoor> poster_;
   std::thread thread_;
 };
 
--- a/proxy/proxy_state.cc
+++ b/proxy/proxy_state.cc
@@ -26,7 +26,7 @@
     : options_(std::move(options)), limits_(limits), claims_(claims) {
   endpoint_rates_.SetOnReceived([this](const StatedRate& stated) {
     for (const auto& [id, dispatcher] : dispatchers()) {
-      dispatcher->HearRate(stated);
+      dispatcher->OnPeerRateLimit(stated);
     }
   });
 }
@@ -48,23 +48,24 @@
                                                            on_waiting_();
                                                          }
                                                        });
-      dispatcher->SetHostNumber(seat_);
+      dispatcher->SetHostNumber(host_number_);
     }
     dispatcher->SetService(service, hosts, now);
-    // What peers said of an endpoint may come before its entry.
+    // Peers may have reported a rate limit before this host learned of the
+    // endpoint.
     for (const StatedRate& it : rates) {
-      dispatcher->HearRate(it);
+      dispatcher->OnPeerRateLimit(it);
     }
   }
   RemoveUnlisted(*table, now);
   routing_ = std::move(table);
 }
 
-void ProxyState::SetHostNumber(const HostNumber& seat) {
+void ProxyState::SetHostNumber(const HostNumber& host_number) {
   const std::unique_lock lock(mutex_);
-  seat_ = seat;
+  host_number_ = host_number;
   for (const auto& [id, dispatcher] : dispatchers_) {
-    dispatcher->SetHostNumber(seat);
+    dispatcher->SetHostNumber(host_number);
   }
 }
 
@@ -86,7 +87,7 @@
       ++it;
       continue;
     }
-    // Calls that still hold the dispatcher find no endpoint in it.
+    // Calls that still hold the dispatcher must find no endpoint in it.
     ServiceSpec without_endpoints;
     without_endpoints.id = it->first;
     it->second->SetService(without_endpoints, 1, now);
@@ -99,7 +100,7 @@
   return routing_;
 }
 
-CallerLimits ProxyState::bounds() const {
+CallerLimits ProxyState::caller_limits() const {
   const RoutingTablePtr table = routing();
   if (table->has_routes()) {
     return table->book()->limits;
--- a/proxy/proxy_state.h
+++ b/proxy/proxy_state.h
@@ -26,7 +26,8 @@
 namespace damasktack {
 
 struct ProxyOptions {
-  // Headers and ways of the deployment; not a setting of its own.
+  // The deployment's header names and protocol variants; not a setting of its
+  // own.
   ProtocolNames names;
   SocketAddress listen;
   std::int64_t threads = 2;
@@ -34,23 +35,25 @@
   std::int64_t request_header_bytes = 16 << 10;
   std::int64_t request_body_bytes = 1 << 20;
   Duration idle_timeout = std::chrono::seconds(60);
-  // From the first byte of a request to its last.
+  // Maximum time from the first to the last byte of a request.
   Duration request_timeout = std::chrono::seconds(10);
-  // Connections that one thread keeps to one endpoint; its part of the
-  // endpoint's own number counts where that is less.
+  // Maximum connections that one thread keeps to one endpoint; the thread's
+  // share of the connections that the endpoint accepts applies if it is
+  // smaller.
   std::int64_t idle_per_endpoint = 16;
-  // Below the time after which endpoints close an idle connection.
+  // Must be shorter than the time after which endpoints close an idle
+  // connection.
   Duration endpoint_idle = std::chrono::seconds(4);
   ExchangeLimits exchange;
-  // How calls are placed: by own calls and reports, or by measuring at the
-  // moment of the decision.
+  // Selects how calls are placed: by probing at decision time (true), or by
+  // this host's own calls and endpoints' reports (false).
   bool measures_before_sending = false;
   BalancerOptions balancer;
   MeasuredBalancerOptions measured;
   Duration tick = std::chrono::milliseconds(2);
 };
 
-// What the calls of one daemon share. Safe to use from several threads.
+// State that all calls of one daemon share. Thread-safe.
 class ProxyState {
  public:
   ProxyState(ProxyOptions options, LimitGate& limits, ClaimGate& claims);
@@ -65,27 +68,29 @@
   ProxyCounters& counters() { return counters_; }
   CallLog& call_log() { return call_log_; }
 
-  // Puts new documents in force for the calls that arrive from now on.
+  // Applies new documents to the calls that arrive from now on.
   void SetRouting(RoutingTablePtr table, std::int64_t hosts, TimePoint now);
-  // This host's place among the hosts from now on.
-  void SetHostNumber(const HostNumber& seat);
+  // Sets this host's number among the hosts.
+  void SetHostNumber(const HostNumber& host_number);
   RoutingTablePtr routing() const;
-  // What callers may send: the published limits, or else the settings.
-  CallerLimits bounds() const;
-  // Null where no such service was ever published.
+  // Returns the limits on callers' requests: the published ones, else those
+  // from the settings.
+  CallerLimits caller_limits() const;
+  // Returns null if no such service is published.
   std::shared_ptr<ServiceDispatcher> FindDispatcher(
       const ServiceId& service) const;
   std::map<ServiceId, std::shared_ptr<ServiceDispatcher>> dispatchers() const;
 
-  // Runs when calls have begun to wait, on any I/O thread. To be set before
-  // the first call.
+  // Sets a callback that runs on any I/O thread when calls have begun to wait.
+  // Must be set before the first call.
   void SetOnWaiting(std::function<void()> on_waiting) {
     on_waiting_ = std::move(on_waiting);
   }
 
-  // Asked before a call is admitted: whether what this host believes has been
-  // checked since it last slept. Until `expected_by` a call may wait for it;
-  // afterwards it is refused at once. To be set before the first call.
+  // Sets a check that runs before each call is admitted: whether this host's
+  // documents have been confirmed since the process was last suspended or
+  // started. Until `expected_by`, a call may wait for the confirmation; later
+  // it is refused at once. Must be set before the first call.
   void SetIsCurrent(std::function<bool()> is_current,
                     TimePoint expected_by = TimePoint::min()) {
     is_current_ = std::move(is_current);
@@ -96,7 +101,8 @@
 
   CallToken NextToken() { return ++last_token_; }
 
-  // While stopping, answers close their connections and no new one is taken.
+  // While stopping, answers close their connections and no new connection is
+  // accepted.
   void SetStopping() { stopping_ = true; }
   bool stopping() const { return stopping_; }
   std::atomic<std::int64_t>& calls_in_flight() {
@@ -104,12 +110,12 @@
   }
   std::int64_t calls_in_flight() const { return counters_.calls_in_flight(); }
 
-  // Everything that the proxy counts, in the Prometheus text format.
+  // Returns all metrics of the proxy in the Prometheus text format.
   std::string RenderMetrics(TimePoint now) const;
 
  private:
   std::unique_ptr<Balancer> MakeBalancer() const;
-  // Forgets the services that are no longer published; the caller holds the
+  // Removes the services that are no longer published; the caller must hold the
   // lock.
   void RemoveUnlisted(const RoutingTable& table, TimePoint now);
 
@@ -124,7 +130,7 @@
   mutable std::shared_mutex mutex_;
   RoutingTablePtr routing_ = std::make_shared<RoutingTable>();
   std::map<ServiceId, std::shared_ptr<ServiceDispatcher>> dispatchers_;
-  HostNumber seat_;
+  HostNumber host_number_;
   std::function<bool()> is_current_;
   TimePoint current_by_ = TimePoint::min();
   std::function<void()> on_waiting_;
--- a/proxy/request_check.cc
+++ b/proxy/request_check.cc
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::string_view kLineEnd = "\r\n";
-// Enough for any number that the limits allow; no overflow in 64 bits.
-constexpr std::size_t kMostDigits = 18;
+// Enough for any number within the limits, and cannot overflow 64 bits.
+constexpr std::size_t kMaxDigits = 18;
 
 bool IsDigit(char it) {
   return it >= '0' && it <= '9';
@@ -36,7 +36,7 @@
 }
 
 bool IsNumber(std::string_view text) {
-  return !text.empty() && text.size() <= kMostDigits &&
+  return !text.empty() && text.size() <= kMaxDigits &&
          std::ranges::all_of(text, IsDigit);
 }
 
@@ -59,7 +59,7 @@
   return text;
 }
 
-Failure Bad(std::string found) {
+Failure MakeBadRequest(std::string found) {
   return MakeFailure(FailureKind::kBadRequest, std::move(found));
 }
 
@@ -71,7 +71,8 @@
   return low >= 'a' && low <= 'f' ? low - 'a' + 10 : -1;
 }
 
-// The path with its escapes resolved; null where an escape is broken.
+// Returns the path with its percent escapes decoded, or null if an escape is
+// invalid.
 std::optional<std::string> Unescape(std::string_view path) {
   std::string plain;
   for (std::size_t n = 0; n < path.size(); ++n) {
@@ -104,38 +105,39 @@
   }
 }
 
-// The contract's rules go by the path as it stands. An endpoint that resolves
-// `..` would serve another path than the one that was checked, so none passes,
-// in whatever spelling.
+// The contract's rules are matched against the path without resolving dot
+// segments. An endpoint that resolves `..` would serve a different path from
+// the one that was checked, so dot segments are refused in any spelling.
 std::optional<Failure> CheckTarget(std::string_view target) {
   if (target.empty() || target.front() != '/') {
-    return Bad("a target that does not start with '/'");
+    return MakeBadRequest("a target that does not start with '/'");
   }
   const auto is_plain = [](char it) { return it > 0x20 && it < 0x7f; };
   if (!std::ranges::all_of(target, is_plain)) {
-    return Bad("a target with characters outside printable ASCII");
+    return MakeBadRequest("a target with characters outside printable ASCII");
   }
   if (target.find_first_of("#\\") != std::string_view::npos) {
-    return Bad("a target with '#' or a backslash");
+    return MakeBadRequest("a target with '#' or a backslash");
   }
   const std::optional<std::string> resolved =
       Unescape(target.substr(0, target.find('?')));
   if (!resolved) {
-    return Bad("a target with a broken escape");
+    return MakeBadRequest("a target with a broken escape");
   }
   if (std::ranges::any_of(*resolved, IsControl) ||
       resolved->find('\\') != std::string::npos) {
-    return Bad("a target with an escaped control character or backslash");
+    return MakeBadRequest(
+        "a target with an escaped control character or backslash");
   }
   if (HasDotSegment(*resolved)) {
-    return Bad("a target with dot segments");
+    return MakeBadRequest("a target with dot segments");
   }
   return std::nullopt;
 }
 
-// Header lines that change how a request is read, or whose it is: each may
-// come once.
-enum class Known {
+// Headers that determine how a request is parsed or which caller it belongs to.
+// Each may appear only once.
+enum class HeaderId {
   kHost,
   kContentLength,
   kTransferEncoding,
@@ -148,32 +150,32 @@
   kOther,
 };
 
-struct KnownName {
+struct HeaderName {
   std::string_view name;
-  Known known;
+  HeaderId known;
 };
 
-constexpr std::array<KnownName, 9> kKnownNames = {{
-    {"Host", Known::kHost},
-    {"Content-Length", Known::kContentLength},
-    {"Transfer-Encoding", Known::kTransferEncoding},
-    {"Expect", Known::kExpect},
-    {kKeyHeader, Known::kKey},
-    {kIdempotencyKeyHeader, Known::kIdempotencyKey},
-    {kDeadlineHeader, Known::kDeadline},
-    {kDepthHeader, Known::kDepth},
-    {kAttemptHeader, Known::kAttempt},
+constexpr std::array<HeaderName, 9> kCheckedHeaders = {{
+    {"Host", HeaderId::kHost},
+    {"Content-Length", HeaderId::kContentLength},
+    {"Transfer-Encoding", HeaderId::kTransferEncoding},
+    {"Expect", HeaderId::kExpect},
+    {kKeyHeader, HeaderId::kKey},
+    {kIdempotencyKeyHeader, HeaderId::kIdempotencyKey},
+    {kDeadlineHeader, HeaderId::kDeadline},
+    {kDepthHeader, HeaderId::kDepth},
+    {kAttemptHeader, HeaderId::kAttempt},
 }};
 
-Known Recognise(std::string_view name) {
+HeaderId ClassifyHeader(std::string_view name) {
   const auto it =
-      std::ranges::find_if(kKnownNames, [&](const KnownName& candidate) {
+      std::ranges::find_if(kCheckedHeaders, [&](const HeaderName& candidate) {
         return EqualsIgnoringCase(candidate.name, name);
       });
-  return it == kKnownNames.end() ? Known::kOther : it->known;
+  return it == kCheckedHeaders.end() ? HeaderId::kOther : it->known;
 }
 
-// Reads one head from its first line to its last.
+// Checks one complete request head line by line.
 class HeadChecker {
  public:
   std::optional<Failure> Check(std::string_view head);
@@ -181,13 +183,16 @@
  private:
   std::optional<Failure> CheckFirstLine(std::string_view line);
   std::optional<Failure> CheckHeaderLine(std::string_view line);
-  std::optional<Failure> CheckValue(Known known, std::string_view value) const;
+  std::optional<Failure> CheckValue(HeaderId known,
+                                    std::string_view value) const;
   std::optional<Failure> CheckWhole() const;
-  bool Has(Known known) const { return seen_[static_cast<std::size_t>(known)]; }
+  bool Has(HeaderId known) const {
+    return seen_[static_cast<std::size_t>(known)];
+  }
 
   bool is_1_0_ = false;
   std::size_t lines_ = 0;
-  std::array<bool, kKnownNames.size()> seen_{};
+  std::array<bool, kCheckedHeaders.size()> seen_{};
 };
 
 std::optional<Failure> HeadChecker::CheckFirstLine(std::string_view line) {
@@ -195,11 +200,11 @@
   const std::size_t second =
       first == std::string_view::npos ? first : line.find(' ', first + 1);
   if (second == std::string_view::npos) {
-    return Bad("a first line without method, target and version");
+    return MakeBadRequest("a first line without method, target and version");
   }
   const std::string_view version = line.substr(second + 1);
   if (!IsToken(line.substr(0, first))) {
-    return Bad("a method that is no token");
+    return MakeBadRequest("a method that is no token");
   }
   if (auto fault = CheckTarget(line.substr(first + 1, second - first - 1))) {
     return fault;
@@ -209,40 +214,42 @@
     return MakeFailure(FailureKind::kVersion);
   }
   if (!version.starts_with("HTTP/")) {
-    return Bad("a first line that does not end with the version");
+    return MakeBadRequest("a first line that does not end with the version");
   }
   return std::nullopt;
 }
 
-std::optional<Failure> HeadChecker::CheckValue(Known known,
+std::optional<Failure> HeadChecker::CheckValue(HeaderId known,
                                                std::string_view value) const {
   switch (known) {
-    case Known::kContentLength:
-    case Known::kDeadline:
-    case Known::kDepth:
-    case Known::kAttempt:
+    case HeaderId::kContentLength:
+    case HeaderId::kDeadline:
+    case HeaderId::kDepth:
+    case HeaderId::kAttempt:
       if (!IsNumber(value)) {
-        return Bad("a length, deadline, depth or attempt that is not digits");
+        return MakeBadRequest(
+            "a length, deadline, depth or attempt that is not digits");
       }
       break;
-    case Known::kTransferEncoding:
+    case HeaderId::kTransferEncoding:
       if (!EqualsIgnoringCase(value, "chunked")) {
         return MakeFailure(FailureKind::kNotSupported);
       }
       break;
-    case Known::kExpect:
+    case HeaderId::kExpect:
       if (!EqualsIgnoringCase(value, "100-continue")) {
         return MakeFailure(FailureKind::kExpectation);
       }
       break;
-    case Known::kIdempotencyKey:
-      if (value.empty() || value.size() > kLongestIdempotencyKey) {
-        return Bad("an Idempotency-Key that is empty or over 255 characters");
+    case HeaderId::kIdempotencyKey:
+      if (value.empty() || value.size() > kMaxIdempotencyKeyLength) {
+        return MakeBadRequest(
+            "an Idempotency-Key that is empty or over 255 characters");
       }
       break;
-    case Known::kHost:
+    case HeaderId::kHost:
       if (value.find_first_of(" \t,/@") != std::string_view::npos) {
-        return Bad("a Host that is no host");
+        return MakeBadRequest("a Host that is no host");
       }
       break;
     default:
@@ -252,39 +259,41 @@
 }
 
 std::optional<Failure> HeadChecker::CheckHeaderLine(std::string_view line) {
-  if (++lines_ > kMostRequestHeaders) {
+  if (++lines_ > kMaxRequestHeaders) {
     return MakeFailure(FailureKind::kHeadTooLarge, "over 100 header lines");
   }
-  // Also catches a folded line, which starts with a blank.
+  // This also refuses folded lines, which start with a blank.
   const std::size_t colon = line.find(':');
   if (colon == std::string_view::npos || !IsToken(line.substr(0, colon))) {
-    return Bad("a header line without a plain name right before its colon");
+    return MakeBadRequest(
+        "a header line without a plain name right before its colon");
   }
   const std::string_view value = Trim(line.substr(colon + 1));
   if (std::ranges::any_of(value, IsControl)) {
-    return Bad("a header value with control characters");
+    return MakeBadRequest("a header value with control characters");
   }
-  const Known known = Recognise(line.substr(0, colon));
-  if (known == Known::kOther) {
+  const HeaderId known = ClassifyHeader(line.substr(0, colon));
+  if (known == HeaderId::kOther) {
     return std::nullopt;
   }
   bool& seen = seen_[static_cast<std::size_t>(known)];
   if (seen) {
-    return Bad("the header " + std::string(line.substr(0, colon)) + " twice");
+    return MakeBadRequest("the header " + std::string(line.substr(0, colon)) +
+                          " twice");
   }
   seen = true;
   return CheckValue(known, value);
 }
 
 std::optional<Failure> HeadChecker::CheckWhole() const {
-  if (!is_1_0_ && !Has(Known::kHost)) {
-    return Bad("no Host");
+  if (!is_1_0_ && !Has(HeaderId::kHost)) {
+    return MakeBadRequest("no Host");
   }
-  if (Has(Known::kTransferEncoding) && Has(Known::kContentLength)) {
-    return Bad("Content-Length with Transfer-Encoding");
+  if (Has(HeaderId::kTransferEncoding) && Has(HeaderId::kContentLength)) {
+    return MakeBadRequest("Content-Length with Transfer-Encoding");
   }
-  if (Has(Known::kTransferEncoding) && is_1_0_) {
-    return Bad("Transfer-Encoding in HTTP/1.0");
+  if (Has(HeaderId::kTransferEncoding) && is_1_0_) {
+    return MakeBadRequest("Transfer-Encoding in HTTP/1.0");
   }
   return std::nullopt;
 }
@@ -322,12 +331,12 @@
 
 std::optional<Failure> CheckPartialHead(std::string_view bytes) {
   if (!bytes.empty() && !IsTokenChar(bytes.front())) {
-    return Bad("a first byte that starts no method");
+    return MakeBadRequest("a first byte that starts no method");
   }
   for (std::size_t at = bytes.find('\n'); at != std::string_view::npos;
        at = bytes.find('\n', at + 1)) {
     if (at == 0 || bytes[at - 1] != '\r') {
-      return Bad("a line that ends without a carriage return");
+      return MakeBadRequest("a line that ends without a carriage return");
     }
   }
   return std::nullopt;
--- a/proxy/request_digest.h
+++ b/proxy/request_digest.h
@@ -9,12 +9,13 @@
 
 namespace damasktack {
 
-// Digest of method, target and body.
+// Returns a digest of method, target and body.
 std::uint64_t DigestOf(const HttpRequest& request);
 
-// `caller` is the customer or, where callers have no keys, the host that the
-// request names. Of the headers only credentials count, which tell the callers
-// behind one host apart; others differ from attempt to attempt.
+// Returns a fingerprint that is the same for all attempts of one request.
+// `caller` is the customer or, if callers have no keys, the host that the
+// request names. The only headers included are credentials, which distinguish
+// callers behind one host; other headers differ between attempts.
 RequestFingerprint FingerprintOf(std::string_view caller,
                                  const HttpRequest& request);
 
--- a/proxy/routing_table.h
+++ b/proxy/routing_table.h
@@ -12,31 +12,33 @@
 
 namespace damasktack {
 
-// SHA-256 as 64 lower-case hex digits.
+// Returns the SHA-256 digest as 64 lower-case hex digits.
 std::string Sha256Hex(std::string_view text);
 
-// What the documents in force say about one request. Immutable once built;
-// calls hold the table they began with.
+// Looks up the contract, service and route for a request in the documents in
+// force. Immutable; a call uses the same table from start to end.
 class RoutingTable {
  public:
   RoutingTable() = default;
   RoutingTable(const ContractList& contracts, const ServiceList& services);
-  // For callers without keys: the route tells the contract.
+  // For callers without keys: the route determines the contract.
   RoutingTable(std::shared_ptr<const RouteTable> book,
                std::vector<ServiceSpec> services);
 
-  // Null where no contract has this key.
+  // Returns null if no contract has this key.
   const Contract* FindContract(std::string_view key) const;
-  // Null where no service has a prefix of this path.
+  // Returns null if no service has a prefix of this path.
   const ServiceSpec* FindService(std::string_view path) const;
 
-  // Whether requests go by routes and not by their callers' contracts.
+  // Whether requests are matched by routes instead of by their callers'
+  // contracts.
   bool has_routes() const { return book_ != nullptr; }
-  // The route with the longest prefix of this path; null where there is none.
+  // Returns the route with the longest prefix of this path, or null if there is
+  // none.
   const Route* FindRoute(std::string_view host, std::string_view path) const;
-  // Null where it is not published.
+  // Returns null if the service is not published.
   const ServiceSpec* FindServiceById(const ServiceId& id) const;
-  // Null without routes.
+  // Returns null without routes.
   const std::shared_ptr<const RouteTable>& book() const { return book_; }
 
   const std::vector<Contract>& contracts() const { return contracts_; }
--- a/proxy/service_dispatcher.cc
+++ b/proxy/service_dispatcher.cc
@@ -25,9 +25,9 @@
   balancer_->SetService(service, hosts, now);
 }
 
-void ServiceDispatcher::SetHostNumber(const HostNumber& seat) {
+void ServiceDispatcher::SetHostNumber(const HostNumber& host_number) {
   const std::lock_guard lock(mutex_);
-  balancer_->SetHostNumber(seat);
+  balancer_->SetHostNumber(host_number);
 }
 
 void ServiceDispatcher::Offer(const CallOffer& offer,
@@ -43,7 +43,7 @@
     placed = Resolve(decisions);
     waiting = balancer_->waiting() > 0;
   }
-  Tell(placed, waiting);
+  NotifyCalls(placed, waiting);
 }
 
 bool ServiceDispatcher::Withdraw(CallToken token, TimePoint now) {
@@ -68,7 +68,7 @@
     const std::lock_guard lock(mutex_);
     waiting_.emplace(offer.token, std::move(on_placed));
     if (end.report) {
-      NoteDrain(end.endpoint, *end.report);
+      RecordDrain(end.endpoint, *end.report);
     }
     if (end.signals) {
       stated = TakeSignals(end.endpoint, now, [&] {
@@ -82,8 +82,8 @@
     placed = Resolve(decisions);
     waiting = balancer_->waiting() > 0;
   }
-  TellRate(stated);
-  Tell(placed, waiting);
+  PublishRateLimit(stated);
+  NotifyCalls(placed, waiting);
   return after;
 }
 
@@ -102,15 +102,15 @@
   bool waiting = false;
   {
     const std::lock_guard lock(mutex_);
-    NoteDrain(endpoint, report);
+    RecordDrain(endpoint, report);
     balancer_->Report(endpoint, report, now, decisions);
     placed = Resolve(decisions);
     waiting = balancer_->waiting() > 0;
   }
-  Tell(placed, waiting);
+  NotifyCalls(placed, waiting);
 }
 
-void ServiceDispatcher::OnProbeSignals(const ProbeOrder& probe,
+void ServiceDispatcher::OnProbeSignals(const ProbeRequest& probe,
                                        const EndpointSignals& signals,
                                        TimePoint now) {
   std::optional<StatedRate> stated;
@@ -125,7 +125,7 @@
       balancer_->OnProbeSignals(probe.endpoint, signals, now);
     });
   }
-  TellRate(stated);
+  PublishRateLimit(stated);
 }
 
 template <typename Take>
@@ -142,13 +142,14 @@
   return StatedRate{{spec.id, spec.started_at}, after, now};
 }
 
-void ServiceDispatcher::TellRate(const std::optional<StatedRate>& stated) {
+void ServiceDispatcher::PublishRateLimit(
+    const std::optional<StatedRate>& stated) {
   if (stated) {
     rates_.OnStated(*stated);
   }
 }
 
-void ServiceDispatcher::HearRate(const StatedRate& stated) {
+void ServiceDispatcher::OnPeerRateLimit(const StatedRate& stated) {
   const std::lock_guard lock(mutex_);
   balancer_->OnPeerRateLimit(stated.endpoint, stated.rate_limit, stated.at);
 }
@@ -165,7 +166,7 @@
     placed = Resolve(decisions);
     waiting = balancer_->waiting() > 0;
   }
-  Tell(placed, waiting);
+  NotifyCalls(placed, waiting);
 }
 
 void ServiceDispatcher::OnPeerDrain(const EndpointId& endpoint, TimePoint now) {
@@ -175,13 +176,13 @@
 
 std::set<EndpointId> ServiceDispatcher::TakeDrainSightings() {
   const std::lock_guard lock(mutex_);
-  return std::exchange(drain_sightings_, {});
+  return std::exchange(observed_drains_, {});
 }
 
-void ServiceDispatcher::NoteDrain(EndpointIndex endpoint,
-                                  const EndpointReport& report) {
+void ServiceDispatcher::RecordDrain(EndpointIndex endpoint,
+                                    const EndpointReport& report) {
   if (report.mode == EndpointMode::kDraining) {
-    drain_sightings_.insert(balancer_->endpoint(endpoint).id);
+    observed_drains_.insert(balancer_->endpoint(endpoint).id);
   }
 }
 
@@ -195,17 +196,17 @@
     placed = Resolve(decisions);
     waiting = balancer_->waiting() > 0;
   }
-  Tell(placed, false);
+  NotifyCalls(placed, false);
   return waiting;
 }
 
-std::optional<ProbeOrder> ServiceDispatcher::NextProbe(TimePoint now) {
+std::optional<ProbeRequest> ServiceDispatcher::NextProbe(TimePoint now) {
   const std::lock_guard lock(mutex_);
   const std::optional<EndpointIndex> next = balancer_->NextProbe(now);
   if (!next) {
     return std::nullopt;
   }
-  return ProbeOrder{*next, TargetOf(*next)};
+  return ProbeRequest{*next, TargetOf(*next)};
 }
 
 BalancerStatus ServiceDispatcher::Status(TimePoint now) const {
@@ -225,10 +226,10 @@
 EndpointTarget ServiceDispatcher::TargetOf(EndpointIndex endpoint) const {
   const EndpointSpec& spec = balancer_->endpoint(endpoint);
   const std::int64_t part = spec.connections / (hosts_ * share_.threads);
-  const std::int64_t most =
-      std::min(share_.most, std::max<std::int64_t>(part, 1));
-  return EndpointTarget{spec.address, static_cast<std::size_t>(most), spec.id,
-                        health_path_, spec.started_at};
+  const std::int64_t max_per_thread =
+      std::min(share_.max_per_thread, std::max<std::int64_t>(part, 1));
+  return EndpointTarget{spec.address, static_cast<std::size_t>(max_per_thread),
+                        spec.id, health_path_, spec.started_at};
 }
 
 std::vector<ServiceDispatcher::Placed> ServiceDispatcher::Resolve(
@@ -254,8 +255,8 @@
   return placed;
 }
 
-// At most a third of a service's endpoints is out at once and each stays out
-// for a second at least, which bounds the lines.
+// The number of log lines is bounded: at most a third of a service's endpoints
+// are ejected at a time, and each for at least one second.
 void ServiceDispatcher::LogChanges() {
   for (const EndpointChange& it : balancer_->TakeChanges()) {
     spdlog::info("event=endpoint-state endpoint={} from={} to={} reason=\"{}\"",
@@ -263,7 +264,7 @@
   }
 }
 
-void ServiceDispatcher::Tell(std::vector<Placed>& placed, bool waiting) {
+void ServiceDispatcher::NotifyCalls(std::vector<Placed>& placed, bool waiting) {
   for (Placed& it : placed) {
     it.on_placed(it.placement);
   }
--- a/proxy/service_dispatcher.h
+++ b/proxy/service_dispatcher.h
@@ -16,90 +16,94 @@
 
 namespace damasktack {
 
-// What a waiting call learns: an endpoint to send to, or a refusal.
+// Result for a waiting call: an endpoint to send to, or a refusal.
 struct Placement {
   Refusal refusal = Refusal::kNone;
   EndpointIndex endpoint = 0;
   EndpointTarget target;
-  // Of a refusal; zero where only what is usual for it is known.
+  // For a refusal; zero means the default of its kind.
   Duration retry_after{};
   DecisionBasis basis{};
 };
 
-struct ProbeOrder {
+struct ProbeRequest {
   EndpointIndex endpoint = 0;
   EndpointTarget target;
 };
 
-// How one daemon shares out an endpoint's connections.
+// Limits how one daemon's threads share an endpoint's connections.
 struct ConnectionShare {
   std::int64_t threads = 1;
-  // No thread keeps more, whatever the endpoint accepts.
-  std::int64_t most = 16;
+  // Upper bound per thread, whatever the endpoint accepts.
+  std::int64_t max_per_thread = 16;
 };
 
-// What measuring one service has cost this daemon.
+// Total cost of probing one service from this daemon.
 struct ProbeCost {
   std::uint64_t probes = 0;
-  // Sent and received.
+  // Bytes sent and received.
   std::uint64_t bytes = 0;
 };
 
-// Shares one service's balancer among the I/O threads: serialises the events
-// and tells each waiting call its placement.
+// Gives the I/O threads access to one service's balancer: serialises the events
+// and delivers each waiting call's placement.
 class ServiceDispatcher {
  public:
-  // Runs on the thread whose event led to the placement, outside the lock.
+  // Called without the lock, on the thread whose event led to the placement.
   using OnPlaced = std::function<void(const Placement&)>;
 
-  // `on_waiting` runs after an event that left calls waiting, on the thread
-  // of the event; their owner then has probes to send and time to keep. `rates`
-  // hears which limits endpoints state, and must outlive the dispatcher.
+  // `on_waiting` runs after an event that left calls waiting, on the thread of
+  // the event, so that probes are sent and Tick is called more often. `rates`
+  // is told the rate limits that endpoints state and must outlive the
+  // dispatcher.
   ServiceDispatcher(std::unique_ptr<Balancer> balancer,
                     ConnectionShare share,
                     EndpointRates& rates,
                     std::function<void()> on_waiting);
 
   // See Balancer::SetHostNumber.
-  void SetHostNumber(const HostNumber& seat);
+  void SetHostNumber(const HostNumber& host_number);
   void SetService(const ServiceSpec& service,
                   std::int64_t hosts,
                   TimePoint now);
-  // `on_placed` runs exactly once, unless Withdraw returned true.
+  // Submits a call. `on_placed` runs exactly once, unless Withdraw returned
+  // true.
   void Offer(const CallOffer& offer, OnPlaced on_placed, TimePoint now);
   bool Withdraw(CallToken token, TimePoint now);
-  // With kRetry the call waits again and `on_placed` runs once more.
+  // Reports the end of a send. With kRetry the call waits again and `on_placed`
+  // runs once more.
   AfterSend Finish(const CallOffer& offer,
                    const SendEnd& end,
                    OnPlaced on_placed,
                    TimePoint now);
-  // When a caller whose call did not run may come back; zero where only what is
-  // usual for the failure is known.
+  // Returns the time after which a caller whose call did not run may retry;
+  // zero means the default of the failure.
   Duration RetryAfterSend(const CallOffer& offer,
                           const SendEnd& end,
                           TimePoint now);
-  // What the answer to a probe says.
+  // Processes the load report in the answer to a probe.
   void Report(EndpointIndex endpoint,
               const EndpointReport& report,
               TimePoint now);
-  // The same; passed over where another process has the index by now, which
-  // would count as leaving for good.
-  void OnProbeSignals(const ProbeOrder& probe,
+  // Processes the other signals in the answer to a probe. They are ignored if
+  // the index belongs to another process by now, because a shutdown signal
+  // would otherwise remove that process permanently.
+  void OnProbeSignals(const ProbeRequest& probe,
                       const EndpointSignals& signals,
                       TimePoint now);
   void ProbeFailed(EndpointIndex endpoint, SendResult result, TimePoint now);
-  // Another host was told of an endpoint's rate limit.
-  void HearRate(const StatedRate& stated);
-  // Another host has seen the endpoint drain.
+  // Applies an endpoint's rate limit that another host has reported.
+  void OnPeerRateLimit(const StatedRate& stated);
+  // Applies a drain of the endpoint that another host has reported.
   void OnPeerDrain(const EndpointId& endpoint, TimePoint now);
-  // Endpoints that told this host itself that they drain, since the last call.
-  // What was only heard is not among them, so that hosts do not keep a mistake
-  // alive between them.
+  // Returns the endpoints that have reported to this host since the last call
+  // that they are draining. Reports from other hosts are excluded, because
+  // hosts would otherwise keep repeating a wrong report to each other.
   std::set<EndpointId> TakeDrainSightings();
-  // Whether calls wait afterwards.
+  // Returns true if calls are still waiting afterwards.
   bool Tick(TimePoint now);
   bool probes_while_idle() const { return balancer_->probes_while_idle(); }
-  std::optional<ProbeOrder> NextProbe(TimePoint now);
+  std::optional<ProbeRequest> NextProbe(TimePoint now);
   BalancerStatus Status(TimePoint now) const;
 
   void CountProbe(std::uint64_t bytes);
@@ -111,19 +115,21 @@
     Placement placement;
   };
 
-  // Turns decisions into placements; the caller holds the lock.
+  // Converts the balancer's decisions into placements; the caller must hold the
+  // lock.
   std::vector<Placed> Resolve(const Decisions& decisions);
-  void Tell(std::vector<Placed>& placed, bool waiting);
-  // The caller holds the lock.
+  void NotifyCalls(std::vector<Placed>& placed, bool waiting);
+  // Logs endpoint state changes; the caller must hold the lock.
   void LogChanges();
-  void NoteDrain(EndpointIndex endpoint, const EndpointReport& report);
-  // What changed in the limit that the endpoint stated, where it did.
+  void RecordDrain(EndpointIndex endpoint, const EndpointReport& report);
+  // Applies signals with `take` and returns the endpoint's rate limit if that
+  // has changed it.
   template <typename Take>
   std::optional<StatedRate> TakeSignals(EndpointIndex endpoint,
                                         TimePoint now,
                                         Take take);
-  // Outside the lock: the hosts' exchange has one of its own.
-  void TellRate(const std::optional<StatedRate>& stated);
+  // Must be called without the lock, because `rates_` has its own lock.
+  void PublishRateLimit(const std::optional<StatedRate>& stated);
   EndpointTarget TargetOf(EndpointIndex endpoint) const;
 
   const ConnectionShare share_;
@@ -136,7 +142,7 @@
   const std::unique_ptr<Balancer> balancer_;
   const std::function<void()> on_waiting_;
   std::unordered_map<CallToken, OnPlaced> waiting_;
-  std::set<EndpointId> drain_sightings_;
+  std::set<EndpointId> observed_drains_;
 };
 
 }  // namespace damasktack
--- a/proxy/unknown_headers.cc
+++ b/proxy/unknown_headers.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kMostNames = 32;
+constexpr std::size_t kMaxLoggedNames = 32;
 
 bool BeginsWith(beast::string_view text, std::string_view prefix) {
   return text.size() >= prefix.size() &&
@@ -32,7 +32,7 @@
   static std::mutex mutex;
   static std::set<std::string, beast::iless> seen;
   const std::lock_guard lock(mutex);
-  return seen.size() < kMostNames && seen.emplace(name).second;
+  return seen.size() < kMaxLoggedNames && seen.emplace(name).second;
 }
 
 }  // namespace
@@ -43,10 +43,10 @@
   }
   for (const auto& it : answer) {
     const beast::string_view name = it.name_string();
-    const bool is_own_word = std::ranges::any_of(
+    const bool is_endpoint_header = std::ranges::any_of(
         names.endpoint_prefixes,
         [&](const std::string& prefix) { return BeginsWith(name, prefix); });
-    if (is_own_word && !IsKnown(name, names) && IsNew(name)) {
+    if (is_endpoint_header && !IsKnown(name, names) && IsNew(name)) {
       spdlog::debug("event=unknown-endpoint-header name={} value=\"{}\"",
                     FromBeast(name), FromBeast(it.value()));
     }
--- a/proxy/unknown_headers.h
+++ b/proxy/unknown_headers.h
@@ -6,9 +6,8 @@
 
 namespace damasktack {
 
-// Writes a line of level debug for each header in which an endpoint says
-// something of itself that this version does not know; one line a name and
-// process, and a bounded number of names.
+// Logs, at debug level, endpoint headers that this version does not support.
+// Each name is logged once per process, and the number of names is bounded.
 void LogUnknownHeaders(const HttpResponse& answer, const ProtocolNames& names);
 
 }  // namespace damasktack
--- a/tests/proxy/proxy_fixture.h
+++ b/tests/proxy/proxy_fixture.h
@@ -14,22 +14,23 @@
 
 namespace damasktack {
 
-// The head line and headers that most tests send: customer "keepers", service
-// "dispatch". GET is idempotent by the contract, POST is not.
+// Returns the request line and headers that most tests send: customer
+// "keepers", service "dispatch". The contract declares GET idempotent and POST
+// not.
 std::string GetRequest(std::string_view path, std::string_view headers = "");
 std::string PostRequest(std::string_view body, std::string_view headers = "");
 
-// The value of one header of an answer, "" where it has none.
+// Returns the value of a header of an answer, or "" without one.
 std::string HeaderOf(const std::string& answer, std::string_view name);
-// The three digits of an answer's status, 0 where there is none.
+// Returns the status code of an answer, or 0 without one.
 int StatusOf(const std::string& answer);
 std::string BodyOf(const std::string& answer);
 
-// Callers' server and endpoints' side, without the daemon around them.
+// A CallerServer with endpoints, without the rest of the daemon.
 class ProxyFixture {
  public:
   struct Setup {
-    // One endpoint on each.
+    // Ports of the endpoints, one endpoint on each.
     std::vector<std::uint16_t> endpoint_ports;
     ProxyOptions options = FastOptions();
     bool echoes_call = false;
@@ -39,15 +40,15 @@
     ClaimGate* claims = nullptr;
   };
 
-  // Two threads on a free port; short enough times that a test of a timeout
-  // takes part of a second.
+  // Two threads on a free port, with timeouts so short that a test of one takes
+  // less than a second.
   static ProxyOptions FastOptions();
 
   explicit ProxyFixture(Setup setup);
   ~ProxyFixture();
 
   RawConnection Connect() const { return RawConnection::To(server_->port()); }
-  // One request on a connection of its own.
+  // Sends one request on a new connection.
   std::string Ask(std::string_view request) const;
   ProxyState& state() { return *state_; }
   CallerServer& server() { return *server_; }
--- a/tests/proxy/raw_peer.cc
+++ b/tests/proxy/raw_peer.cc
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr timeval kPatience{10, 0};
-constexpr int kPatienceMs = 10'000;
+constexpr timeval kReadTimeout{10, 0};
+constexpr int kHangUpTimeoutMs = 10'000;
 constexpr int kAcceptPollMs = 20;
 constexpr std::string_view kEndOfHead = "\r\n\r\n";
 
@@ -38,7 +38,7 @@
   return fd;
 }
 
-// Bytes of the body that follows `head`; npos for chunks.
+// Returns the size of the body that follows `head`; npos if it is chunked.
 std::size_t BodySize(std::string_view head) {
   constexpr std::string_view kLength = "Content-Length: ";
   if (head.find("chunked") != std::string_view::npos) {
@@ -55,7 +55,7 @@
 
 RawConnection::RawConnection(int fd) : fd_(fd) {
   const int on = 1;
-  setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &kPatience, sizeof(kPatience));
+  setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &kReadTimeout, sizeof(kReadTimeout));
   setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 }
 
@@ -138,7 +138,7 @@
 
 bool RawConnection::WaitForHangUp() {
   pollfd state{fd_, POLLRDHUP, 0};
-  return poll(&state, 1, kPatienceMs) > 0;
+  return poll(&state, 1, kHangUpTimeoutMs) > 0;
 }
 
 void RawConnection::FinishSending() {
@@ -152,8 +152,9 @@
 }
 
 void RawConnection::Reset() {
-  const linger hard{1, 0};
-  setsockopt(fd_, SOL_SOCKET, SO_LINGER, &hard, sizeof(hard));
+  const linger reset_on_close{1, 0};
+  setsockopt(fd_, SOL_SOCKET, SO_LINGER, &reset_on_close,
+             sizeof(reset_on_close));
   Close();
 }
 
--- a/tests/proxy/raw_peer.h
+++ b/tests/proxy/raw_peer.h
@@ -12,9 +12,8 @@
 
 namespace damasktack {
 
-// One TCP connection in the hands of a test: whole control over the bytes.
-// Reads give up after a generous bound, so that a fault fails a test instead
-// of hanging it.
+// A TCP connection on which a test controls every byte. Reads time out after a
+// generous limit, so that a fault fails the test instead of hanging it.
 class RawConnection {
  public:
   explicit RawConnection(int fd);
@@ -26,19 +25,19 @@
   static RawConnection To(std::uint16_t port);
 
   bool Send(std::string_view bytes);
-  // One message: the head and as many bytes as Content-Length names, or the
-  // chunks to the last. What came is returned also where the peer closed.
+  // Reads one message: the head, and the body according to Content-Length or up
+  // to the last chunk. Returns the bytes received so far if the peer closes.
   std::string ReadMessage();
-  // The head only; what follows stays unread, in part in the kernel.
+  // Reads only the head; the rest stays unread, partly in the kernel.
   std::string ReadHead();
-  // Everything until the peer closes.
+  // Reads until the peer closes.
   std::string ReadToEnd();
-  // Waits until the peer has closed, whatever it has sent before. False where
-  // it did not for a long time.
+  // Waits until the peer has closed, also while data from it is unread. Returns
+  // false on timeout.
   bool WaitForHangUp();
   void FinishSending();
   void Close();
-  // Closes so that the peer gets a reset.
+  // Closes the connection with a reset.
   void Reset();
 
  private:
@@ -48,8 +47,8 @@
   std::string buf_;
 };
 
-// An endpoint that does to each connection what the test says, on a thread of
-// its own for each.
+// An endpoint that runs a handler given by the test for each connection, each
+// on its own thread.
 class RawEndpoint {
  public:
   using Script = std::function<void(RawConnection&)>;
@@ -58,7 +57,7 @@
   ~RawEndpoint();
 
   std::uint16_t port() const { return port_; }
-  // Connections accepted so far.
+  // Number of connections accepted so far.
   int connections() const { return connections_; }
 
  private:
@@ -73,10 +72,10 @@
   std::vector<std::thread> threads_;
 };
 
-// An answer of 200 with the given body.
+// Returns a 200 answer with the given body.
 std::string OkAnswer(std::string_view body, std::string_view headers = "");
 
-// A port of 127.0.0.1 on which nobody listens.
+// Returns a port of 127.0.0.1 on which nothing listens.
 std::uint16_t ClosedPort();
 
 }  // namespace damasktack
--- a/tests/proxy/test_call_handler.cc
+++ b/tests/proxy/test_call_handler.cc
@@ -18,7 +18,7 @@
 
 using std::chrono::milliseconds;
 
-// Generous bound for what happens on another thread.
+// Generous time limit for events on another thread.
 bool Eventually(const std::function<bool()>& holds) {
   for (int n = 0; n < 10'000 && !holds(); ++n) {
     std::this_thread::sleep_for(milliseconds(1));
@@ -26,13 +26,13 @@
   return holds();
 }
 
-// A claim gate that answers when the test says, and keeps what was settled.
+// A claim gate that answers when the test says so and records what was settled.
 class ScriptedClaimGate : public ClaimGate {
  public:
   void Claim(const ClaimRequest& /*request*/,
              std::function<void(const ClaimReply&)> done) override {
     const std::lock_guard lock(mutex_);
-    asked_.push_back(std::move(done));
+    pending_claims_.push_back(std::move(done));
   }
   void Settle(const ClaimRequest& /*request*/,
               std::uint64_t claim,
@@ -44,10 +44,10 @@
     kept_ = std::move(answer);
   }
 
-  bool AwaitAsked() {
+  bool AwaitClaim() {
     return Eventually([&] {
       const std::lock_guard lock(mutex_);
-      return !asked_.empty();
+      return !pending_claims_.empty();
     });
   }
   void Answer(ClaimVerdict verdict,
@@ -55,8 +55,8 @@
     std::function<void(const ClaimReply&)> done;
     {
       const std::lock_guard lock(mutex_);
-      done = std::move(asked_.back());
-      asked_.pop_back();
+      done = std::move(pending_claims_.back());
+      pending_claims_.pop_back();
     }
     done(ClaimReply{verdict, std::move(answer), kClaim, milliseconds(2500)});
   }
@@ -73,7 +73,7 @@
   static constexpr std::uint64_t kClaim = 7;
 
   std::mutex mutex_;
-  std::vector<std::function<void(const ClaimReply&)>> asked_;
+  std::vector<std::function<void(const ClaimReply&)>> pending_claims_;
   std::vector<Outcome> settled_;
   std::optional<KeptAnswer> kept_;
 };
@@ -95,12 +95,12 @@
   std::atomic<int> inside = 0;
 };
 
-// One endpoint that counts what it got and does as told.
-struct Stage {
-  explicit Stage(RawEndpoint::Script script)
+// An endpoint that counts its requests and behaves as the test specifies.
+struct CallFixture {
+  explicit CallFixture(RawEndpoint::Script script)
       : endpoint([this, script = std::move(script)](RawConnection& it) {
           if (!it.ReadMessage().empty()) {
-            ++seen;
+            ++request_count;
             script(it);
           }
         }),
@@ -109,7 +109,7 @@
                                 .limits = &limits,
                                 .claims = &claims})) {}
 
-  std::atomic<int> seen = 0;
+  std::atomic<int> request_count = 0;
   CountingLimitGate limits;
   ScriptedClaimGate claims;
   RawEndpoint endpoint;
@@ -132,80 +132,81 @@
 using Settled = std::vector<Outcome>;
 
 TEST_CASE("a granted call that ran is settled once with its answer") {
-  Stage stage(AnswerRan);
-  RawConnection caller = stage.proxy->Connect();
+  CallFixture fixture(AnswerRan);
+  RawConnection caller = fixture.proxy->Connect();
   caller.Send(kCommand);
-  REQUIRE(stage.claims.AwaitAsked());
-  CHECK(stage.seen == 0);
-  stage.claims.Answer(ClaimVerdict::kGranted);
+  REQUIRE(fixture.claims.AwaitClaim());
+  CHECK(fixture.request_count == 0);
+  fixture.claims.Answer(ClaimVerdict::kGranted);
   CHECK(BodyOf(caller.ReadMessage()) == "ran");
-  CHECK(stage.claims.settled() == Settled{Outcome::kComplete});
-  CHECK(stage.claims.kept() == KeptAnswer{200, "text/plain", "ran"});
+  CHECK(fixture.claims.settled() == Settled{Outcome::kComplete});
+  CHECK(fixture.claims.kept() == KeptAnswer{200, "text/plain", "ran"});
 }
 
-// The caller leaves while the keepers are still being asked. The grant comes
-// to nobody; left unsettled it would block the key for good, and settled as
-// anything but not-run it would keep the caller from its second try.
-TEST_CASE("a grant for a caller that has gone is settled as not run") {
-  Stage stage(AnswerRan);
+// The caller disconnects while the claim is being requested from the replicas.
+// The grant then has no receiver. If it stayed unsettled, the key would be
+// blocked permanently; if it were settled as anything but not-run, the caller
+// could not retry.
+TEST_CASE("a grant for a disconnected caller is settled as not run") {
+  CallFixture fixture(AnswerRan);
   {
-    RawConnection caller = stage.proxy->Connect();
+    RawConnection caller = fixture.proxy->Connect();
     caller.Send(kCommand);
-    REQUIRE(stage.claims.AwaitAsked());
+    REQUIRE(fixture.claims.AwaitClaim());
   }
   std::this_thread::sleep_for(milliseconds(50));
-  stage.claims.Answer(ClaimVerdict::kGranted);
-  CHECK(Eventually([&] { return !stage.claims.settled().empty(); }));
-  CHECK(Eventually([&] { return stage.limits.inside == 0; }));
-  CHECK(stage.claims.settled() == Settled{Outcome::kNotRun});
-  CHECK(stage.seen == 0);
+  fixture.claims.Answer(ClaimVerdict::kGranted);
+  CHECK(Eventually([&] { return !fixture.claims.settled().empty(); }));
+  CHECK(Eventually([&] { return fixture.limits.inside == 0; }));
+  CHECK(fixture.claims.settled() == Settled{Outcome::kNotRun});
+  CHECK(fixture.request_count == 0);
 }
 
-// The keepers' answer comes after the deadline: the caller has been told
-// `unknown` (an earlier request may have run), and the late grant frees the
-// key without a send.
+// The claim replicas answer after the deadline. The caller has been told
+// `unknown`, because an earlier request may have run, and the late grant must
+// release the key without a send.
 TEST_CASE("a grant after the deadline is settled as not run") {
-  Stage stage(AnswerRan);
-  const std::string answer = stage.proxy->Ask(PostRequest(
+  CallFixture fixture(AnswerRan);
+  const std::string answer = fixture.proxy->Ask(PostRequest(
       "cut", "Idempotency-Key: k1\r\nDamasktack-Deadline-Ms: 50\r\n"));
   CHECK(StatusOf(answer) == 503);
   CHECK(HeaderOf(answer, "Damasktack-Outcome") == "unknown");
-  stage.claims.Answer(ClaimVerdict::kGranted);
-  CHECK(Eventually([&] { return !stage.claims.settled().empty(); }));
-  CHECK(stage.claims.settled() == Settled{Outcome::kNotRun});
-  CHECK(stage.seen == 0);
+  fixture.claims.Answer(ClaimVerdict::kGranted);
+  CHECK(Eventually([&] { return !fixture.claims.settled().empty(); }));
+  CHECK(fixture.claims.settled() == Settled{Outcome::kNotRun});
+  CHECK(fixture.request_count == 0);
 }
 
 TEST_CASE("a grant after the end of the threads is settled as not run") {
-  Stage stage(AnswerRan);
-  RawConnection caller = stage.proxy->Connect();
+  CallFixture fixture(AnswerRan);
+  RawConnection caller = fixture.proxy->Connect();
   caller.Send(kCommand);
-  REQUIRE(stage.claims.AwaitAsked());
-  stage.proxy.reset();
-  stage.claims.Answer(ClaimVerdict::kGranted);
-  CHECK(stage.claims.settled() == Settled{Outcome::kNotRun});
-  CHECK(stage.limits.inside == 0);
+  REQUIRE(fixture.claims.AwaitClaim());
+  fixture.proxy.reset();
+  fixture.claims.Answer(ClaimVerdict::kGranted);
+  CHECK(fixture.claims.settled() == Settled{Outcome::kNotRun});
+  CHECK(fixture.limits.inside == 0);
 }
 
-// The caller leaves, or the process ends, while the endpoint works on the
-// command. It may run to its end there, so the key must stay closed.
+// The caller disconnects, or the process ends, while the endpoint handles the
+// command. The command may complete there, so the key must stay blocked.
 TEST_CASE("a grant whose call was sent and lost is settled as unknown") {
   for (const bool process_ends : {false, true}) {
     CAPTURE(process_ends);
-    Stage stage(NeverAnswer);
-    RawConnection caller = stage.proxy->Connect();
+    CallFixture fixture(NeverAnswer);
+    RawConnection caller = fixture.proxy->Connect();
     caller.Send(kCommand);
-    REQUIRE(stage.claims.AwaitAsked());
-    stage.claims.Answer(ClaimVerdict::kGranted);
-    REQUIRE(Eventually([&] { return stage.seen == 1; }));
+    REQUIRE(fixture.claims.AwaitClaim());
+    fixture.claims.Answer(ClaimVerdict::kGranted);
+    REQUIRE(Eventually([&] { return fixture.request_count == 1; }));
     if (process_ends) {
-      stage.proxy.reset();
+      fixture.proxy.reset();
     } else {
       caller.Close();
     }
-    CHECK(Eventually([&] { return !stage.claims.settled().empty(); }));
-    CHECK(Eventually([&] { return stage.limits.inside == 0; }));
-    CHECK(stage.claims.settled() == Settled{Outcome::kUnknown});
+    CHECK(Eventually([&] { return !fixture.claims.settled().empty(); }));
+    CHECK(Eventually([&] { return fixture.limits.inside == 0; }));
+    CHECK(fixture.claims.settled() == Settled{Outcome::kUnknown});
   }
 }
 
@@ -214,7 +215,7 @@
   ProxyFixture proxy({.endpoint_ports = {ClosedPort()}, .claims = &claims});
   RawConnection caller = proxy.Connect();
   caller.Send(kCommand);
-  REQUIRE(claims.AwaitAsked());
+  REQUIRE(claims.AwaitClaim());
   claims.Answer(ClaimVerdict::kGranted);
   CHECK(HeaderOf(caller.ReadMessage(), "Damasktack-Outcome") == "not-run");
   CHECK(claims.settled() == Settled{Outcome::kNotRun});
@@ -227,7 +228,7 @@
   const char* outcome;
 };
 
-TEST_CASE("a call without a grant is never sent and its caller hears why") {
+TEST_CASE("a call without a grant is not sent and its caller is told why") {
   const std::vector<Verdict> verdicts = {
       {ClaimVerdict::kAlreadyRan, KeptAnswer{201, "a/b", "earlier"}, 201,
        "complete"},
@@ -236,33 +237,33 @@
       {ClaimVerdict::kMismatch, std::nullopt, 422, "not-run"},
       {ClaimVerdict::kUnavailable, std::nullopt, 503, "unknown"},
   };
-  Stage stage(AnswerRan);
+  CallFixture fixture(AnswerRan);
   for (const Verdict& it : verdicts) {
-    RawConnection caller = stage.proxy->Connect();
+    RawConnection caller = fixture.proxy->Connect();
     caller.Send(kCommand);
-    REQUIRE(stage.claims.AwaitAsked());
-    stage.claims.Answer(it.verdict, it.answer);
+    REQUIRE(fixture.claims.AwaitClaim());
+    fixture.claims.Answer(it.verdict, it.answer);
     const std::string answer = caller.ReadMessage();
     CHECK(StatusOf(answer) == it.status);
     CHECK(HeaderOf(answer, "Damasktack-Outcome") == it.outcome);
   }
-  CHECK(stage.seen == 0);
-  CHECK(stage.claims.settled().empty());
-  CHECK(stage.limits.inside == 0);
+  CHECK(fixture.request_count == 0);
+  CHECK(fixture.claims.settled().empty());
+  CHECK(fixture.limits.inside == 0);
 }
 
 TEST_CASE("a call over the limit is refused with the time to wait") {
-  Stage stage(AnswerRan);
-  stage.limits.refusing = true;
-  const std::string answer = stage.proxy->Ask(GetRequest("/a"));
+  CallFixture fixture(AnswerRan);
+  fixture.limits.refusing = true;
+  const std::string answer = fixture.proxy->Ask(GetRequest("/a"));
   CHECK(StatusOf(answer) == 429);
   CHECK(HeaderOf(answer, "Damasktack-Outcome") == "not-run");
   CHECK(HeaderOf(answer, "Retry-After") == "2");
-  CHECK(stage.limits.inside == 0);
-  CHECK(stage.seen == 0);
+  CHECK(fixture.limits.inside == 0);
+  CHECK(fixture.request_count == 0);
 }
 
-TEST_CASE("an endpoint gets what remains and nothing that is not its own") {
+TEST_CASE("an endpoint gets the remaining time and no foreign headers") {
   std::string request;
   const RawEndpoint endpoint([&](RawConnection& it) {
     request = it.ReadMessage();
@@ -293,17 +294,17 @@
         HeaderOf(request, "Damasktack-Call"));
 }
 
-TEST_CASE("a target that is the service's prefix itself is the path /") {
-  Stage stage(AnswerRan);
-  CHECK(StatusOf(stage.proxy->Ask(GetRequest(""))) == 200);
-  CHECK(StatusOf(stage.proxy->Ask(GetRequest("?plant=1"))) == 200);
+TEST_CASE("a target equal to the service's prefix maps to the path /") {
+  CallFixture fixture(AnswerRan);
+  CHECK(StatusOf(fixture.proxy->Ask(GetRequest(""))) == 200);
+  CHECK(StatusOf(fixture.proxy->Ask(GetRequest("?plant=1"))) == 200);
 }
 
-TEST_CASE("a refused call says its kind, its remedy and its id") {
-  Stage stage(AnswerRan);
+TEST_CASE("a refusal states its kind, its remedy and the call's id") {
+  CallFixture fixture(AnswerRan);
   const auto refused = [&](const std::string& request, int status,
                            const std::string& kind) {
-    const std::string answer = stage.proxy->Ask(request);
+    const std::string answer = fixture.proxy->Ask(request);
     CHECK(StatusOf(answer) == status);
     CHECK(HeaderOf(answer, "Damasktack-Outcome") == "not-run");
     const Json json = Json::parse(BodyOf(answer));
@@ -316,8 +317,8 @@
           "not-in-contract");
   refused(GetRequest("/a", "Damasktack-Depth: 32\r\n"), 508, "too-deep");
   refused(GetRequest("/a", "Damasktack-Deadline-Ms: 0\r\n"), 504, "deadline");
-  CHECK(stage.seen == 0);
-  CHECK(stage.limits.inside == 0);
+  CHECK(fixture.request_count == 0);
+  CHECK(fixture.limits.inside == 0);
 }
 
 }  // namespace
--- a/tests/proxy/test_call_metrics.cc
+++ b/tests/proxy/test_call_metrics.cc
@@ -25,7 +25,7 @@
         std::string::npos);
 }
 
-TEST_CASE("a customer's name cannot break the page") {
+TEST_CASE("a customer's name is escaped in the metrics output") {
   CallMetrics metrics;
   metrics.Record({CustomerId("a\"b\\c"), Urgency::kBulk},
                  {Outcome::kNotRun, milliseconds(5), milliseconds(1)});
--- a/tests/proxy/test_caller_server.cc
+++ b/tests/proxy/test_caller_server.cc
@@ -15,14 +15,14 @@
 
 using std::chrono::milliseconds;
 
-bool IsEmpty(CallerServer& server) {
+bool AwaitNoConnections(CallerServer& server) {
   for (int n = 0; n < 10'000 && server.connections() > 0; ++n) {
     std::this_thread::sleep_for(milliseconds(1));
   }
   return server.connections() == 0;
 }
 
-RawEndpoint::Script Slow(milliseconds time) {
+RawEndpoint::Script AnswerAfter(milliseconds time) {
   return [time](RawConnection& it) {
     while (!it.ReadMessage().empty()) {
       std::this_thread::sleep_for(time);
@@ -33,8 +33,8 @@
   };
 }
 
-TEST_CASE("a stop ends idle connections and finishes what is in flight") {
-  const RawEndpoint endpoint(Slow(milliseconds(200)));
+TEST_CASE("a stop closes idle connections and finishes calls in flight") {
+  const RawEndpoint endpoint(AnswerAfter(milliseconds(200)));
   ProxyFixture proxy({.endpoint_ports = {endpoint.port()}});
   RawConnection idle = proxy.Connect();
   idle.Send(GetRequest("/a"));
@@ -48,16 +48,16 @@
   const std::string answer = busy.ReadToEnd();
   CHECK(BodyOf(answer) == "ran");
   CHECK(HeaderOf(answer, "Connection") == "close");
-  const std::string farewell = idle.ReadToEnd();
-  CHECK(StatusOf(farewell) == 408);
-  CHECK(HeaderOf(farewell, "Damasktack-Outcome") == "not-run");
+  const std::string last_answer = idle.ReadToEnd();
+  CHECK(StatusOf(last_answer) == 408);
+  CHECK(HeaderOf(last_answer, "Damasktack-Outcome") == "not-run");
   busy.Close();
   idle.Close();
-  CHECK(IsEmpty(proxy.server()));
+  CHECK(AwaitNoConnections(proxy.server()));
 }
 
 TEST_CASE("requests that have arrived before a stop are all answered") {
-  const RawEndpoint endpoint(Slow(milliseconds(50)));
+  const RawEndpoint endpoint(AnswerAfter(milliseconds(50)));
   ProxyFixture proxy({.endpoint_ports = {endpoint.port()}});
   RawConnection caller = proxy.Connect();
   caller.Send(PostRequest("1") + PostRequest("2") + PostRequest("3"));
@@ -70,73 +70,73 @@
   CHECK(HeaderOf(caller.ReadMessage(), "Connection") == "close");
 }
 
-// How one caller fared; it goes to the first host until that one closes the
-// connection cleanly between two calls, then to the second.
-struct Fares {
+// Results of one caller. It uses the first host until that host closes the
+// connection cleanly between two calls, and then the second host.
+struct CallCounts {
   std::atomic<int> answered = 0;
-  // Told `not-run` at the close: the call crossed it on its way.
+  // Answered `not-run`: the call was in transit when the connection was closed.
   std::atomic<int> not_run = 0;
-  // Sent, and no answer came.
-  std::atomic<int> cut = 0;
+  // Sent without getting an answer.
+  std::atomic<int> lost = 0;
 };
 
-void CallInALoop(std::uint16_t first,
-                 std::uint16_t second,
-                 const std::atomic<bool>& enough,
-                 Fares& fares) {
+void CallContinuously(std::uint16_t first,
+                      std::uint16_t second,
+                      const std::atomic<bool>& stop,
+                      CallCounts& counts) {
   std::uint16_t port = first;
-  while (!enough) {
+  while (!stop) {
     RawConnection connection = RawConnection::To(port);
     bool open = true;
-    while (open && !enough) {
+    while (open && !stop) {
       connection.Send(PostRequest("cut"));
       const std::string answer = connection.ReadMessage();
       const std::string outcome = HeaderOf(answer, "Damasktack-Outcome");
-      fares.answered += outcome == "complete" ? 1 : 0;
-      fares.not_run += outcome == "not-run" ? 1 : 0;
-      fares.cut += outcome != "complete" && outcome != "not-run" ? 1 : 0;
+      counts.answered += outcome == "complete" ? 1 : 0;
+      counts.not_run += outcome == "not-run" ? 1 : 0;
+      counts.lost += outcome != "complete" && outcome != "not-run" ? 1 : 0;
       open = HeaderOf(answer, "Connection") != "close";
     }
     port = second;
   }
 }
 
-// Sixteen callers send commands without a pause while their host stops. Each
-// must have its answer to every command that it sent; the last answer of the
-// stopping host closes the connection, and the caller goes on elsewhere.
-TEST_CASE("a stop under continuous load cuts no call") {
-  const RawEndpoint endpoint(Slow(milliseconds(2)));
+// Sixteen callers send commands continuously while their host stops. Every
+// command must be answered; the last answer of the stopping host closes the
+// connection, and the caller continues at the other host.
+TEST_CASE("a stop under continuous load aborts no call") {
+  const RawEndpoint endpoint(AnswerAfter(milliseconds(2)));
   ProxyFixture stopping({.endpoint_ports = {endpoint.port()}});
   ProxyFixture staying({.endpoint_ports = {endpoint.port()}});
-  std::atomic<bool> enough = false;
-  Fares fares;
+  std::atomic<bool> stop = false;
+  CallCounts counts;
   std::vector<std::thread> callers;
   for (int n = 0; n < 16; ++n) {
     callers.emplace_back([&] {
-      CallInALoop(stopping.server().port(), staying.server().port(), enough,
-                  fares);
+      CallContinuously(stopping.server().port(), staying.server().port(), stop,
+                       counts);
     });
   }
-  while (fares.answered < 500) {
+  while (counts.answered < 500) {
     std::this_thread::sleep_for(milliseconds(1));
   }
   stopping.server().BeginStopping();
-  CHECK(IsEmpty(stopping.server()));
+  CHECK(AwaitNoConnections(stopping.server()));
   CHECK(stopping.state().calls_in_flight() == 0);
-  const int answered = fares.answered;
-  while (fares.answered < answered + 500) {
+  const int answered = counts.answered;
+  while (counts.answered < answered + 500) {
     std::this_thread::sleep_for(milliseconds(1));
   }
-  enough = true;
+  stop = true;
   for (std::thread& it : callers) {
     it.join();
   }
-  CHECK(fares.cut == 0);
-  CHECK(fares.not_run == 0);
+  CHECK(counts.lost == 0);
+  CHECK(counts.not_run == 0);
 }
 
-TEST_CASE("the metrics page tells connections, failures and probes") {
-  const RawEndpoint endpoint(Slow(milliseconds(0)));
+TEST_CASE("the metrics include connections, failures and probes") {
+  const RawEndpoint endpoint(AnswerAfter(milliseconds(0)));
   ProxyFixture proxy({.endpoint_ports = {endpoint.port()}});
   RawConnection caller = proxy.Connect();
   caller.Send(PostRequest("cut"));
--- a/tests/proxy/test_caller_session.cc
+++ b/tests/proxy/test_caller_session.cc
@@ -14,7 +14,7 @@
 
 using std::chrono::milliseconds;
 
-// Answers each request with its body, and counts them.
+// Echoes the body of each request and counts the requests.
 RawEndpoint::Script Echo(std::atomic<int>& seen) {
   return [&seen](RawConnection& it) {
     while (true) {
@@ -38,9 +38,10 @@
   ProxyFixture proxy;
 };
 
-// A caller that sends a few bytes and then nothing holds a connection and its
-// buffers. It is cut after request_timeout and told so; nothing was sent on.
-TEST_CASE("a slow sender is cut with 408 and not-run") {
+// A caller that sends a few bytes and then stops occupies a connection and its
+// buffers. After request_timeout it must get a 408, the connection must be
+// closed, and nothing may reach an endpoint.
+TEST_CASE("a slow sender is disconnected with 408 and not-run") {
   ProxyOptions options = ProxyFixture::FastOptions();
   options.request_timeout = milliseconds(100);
   EchoFixture it(options);
@@ -55,9 +56,9 @@
   CHECK(it.seen == 0);
 }
 
-// A request may be on its way while an idle connection is closed. A plain
-// close would leave its caller with an unknown outcome; the 408 before the
-// close tells it the truth, that the request did not run.
+// A request may be in transit while an idle connection is closed. A plain close
+// would leave its caller with an unknown outcome; the 408 before the close
+// tells the caller that the request did not run.
 TEST_CASE("an idle connection ends with a 408 that says not-run") {
   ProxyOptions options = ProxyFixture::FastOptions();
   options.idle_timeout = milliseconds(100);
@@ -65,13 +66,13 @@
   RawConnection caller = it.proxy.Connect();
   caller.Send(PostRequest("hello"));
   CHECK(StatusOf(caller.ReadMessage()) == 200);
-  const std::string farewell = caller.ReadToEnd();
-  CHECK(StatusOf(farewell) == 408);
-  CHECK(HeaderOf(farewell, "Damasktack-Outcome") == "not-run");
-  CHECK(HeaderOf(farewell, "Connection") == "close");
+  const std::string last_answer = caller.ReadToEnd();
+  CHECK(StatusOf(last_answer) == 408);
+  CHECK(HeaderOf(last_answer, "Damasktack-Outcome") == "not-run");
+  CHECK(HeaderOf(last_answer, "Connection") == "close");
 }
 
-TEST_CASE("a connection over the limit gets 503, the others go on") {
+TEST_CASE("a connection over the limit gets 503, the others continue") {
   ProxyOptions options = ProxyFixture::FastOptions();
   options.connections = 2;
   EchoFixture it(options);
@@ -89,7 +90,7 @@
   CHECK(BodyOf(first.ReadMessage()) == "again");
 }
 
-TEST_CASE("a request that its caller cuts short reaches nobody") {
+TEST_CASE("an incomplete request reaches no endpoint") {
   EchoFixture it;
   RawConnection caller = it.proxy.Connect();
   caller.Send(
@@ -106,7 +107,7 @@
   CHECK(it.seen == 0);
 }
 
-TEST_CASE("requests sent in a row are answered in their order") {
+TEST_CASE("pipelined requests are answered in their order") {
   EchoFixture it;
   RawConnection caller = it.proxy.Connect();
   caller.Send(PostRequest("one") + PostRequest("two") + PostRequest("three"));
@@ -125,7 +126,7 @@
   CHECK(BodyOf(caller.ReadMessage()) == "hello");
 }
 
-TEST_CASE("a body in chunks reaches the endpoint whole") {
+TEST_CASE("a chunked body reaches the endpoint completely") {
   EchoFixture it;
   const std::string answer = it.proxy.Ask(
       "POST /dispatch/cut HTTP/1.1\r\nHost: h\r\nDamasktack-Key: key\r\n"
@@ -143,7 +144,7 @@
   CHECK(HeaderOf(answer, "Connection") == "close");
 }
 
-TEST_CASE("an answer to HEAD has the length of the whole and no body") {
+TEST_CASE("an answer to HEAD has the full length and no body") {
   const RawEndpoint endpoint([](RawConnection& it) {
     it.ReadMessage();
     it.Send("HTTP/1.1 200 OK\r\nContent-Length: 1234\r\n\r\n");
@@ -174,10 +175,11 @@
   CHECK(answer.find("Content-Length") == std::string::npos);
 }
 
-// The caller closes while the endpoint works. The endpoint's slot is scarce,
-// so the connection to it is closed at once, which cancels the call there;
-// also where the caller had sent its next request already.
-TEST_CASE("a caller that goes away cancels its call at the endpoint") {
+// The caller closes the connection while the endpoint handles its call. The
+// connection to the endpoint must be closed at once, which cancels the call and
+// frees the endpoint's slot, also if the caller has already sent its next
+// request.
+TEST_CASE("a caller that disconnects cancels its call at the endpoint") {
   for (const bool pipelined : {false, true}) {
     CAPTURE(pipelined);
     std::atomic<bool> started = false;
--- a/tests/proxy/test_crash_check.cc
+++ b/tests/proxy/test_crash_check.cc
@@ -12,7 +12,7 @@
 constexpr RequestFingerprint kRequest{1};
 const EndpointProcess kEndpoint{EndpointId("e1"), {}};
 
-// What the quarantine believes after a check of the address.
+// Returns the quarantine's judgement after a check of the address.
 std::size_t CountConfirmed(std::uint16_t port) {
   RequestQuarantine quarantine;
   REQUIRE(quarantine.OnBroken({kRequest, kEndpoint, Clock::now()}));
@@ -24,18 +24,18 @@
   return quarantine.ObservationsOf(kRequest).size();
 }
 
-TEST_CASE("an endpoint at whose address nobody listens has ended") {
+TEST_CASE("an endpoint at whose address nothing listens has ended") {
   CHECK(CountConfirmed(ClosedPort()) == 1);
 }
 
-TEST_CASE("an endpoint that takes connections has not ended") {
+TEST_CASE("an endpoint that accepts connections has not ended") {
   const RawEndpoint endpoint([](RawConnection& it) { it.WaitForHangUp(); });
   CHECK(CountConfirmed(endpoint.port()) == 0);
 }
 
-// Full endpoints reset connections, and answers are lost on the way. A caller
-// that tries again for as long as that lasts is not to be locked out.
-TEST_CASE("calls that break at endpoints that live go on being sent") {
+// Overloaded endpoints reset connections, and answers are lost in the network.
+// A caller that retries meanwhile must not be quarantined.
+TEST_CASE("calls that break at running endpoints are not quarantined") {
   constexpr int kAttempts = 8;
   const RawEndpoint endpoint([](RawConnection& it) {
     it.ReadMessage();
