--- a/tests/proxy/test_endpoint_exchange.cc
+++ b/tests/proxy/test_endpoint_exchange.cc
@@ -21,10 +21,10 @@
   }
 }
 
-// Answers each request with its target; on the first connection adds one more
-// answer that nobody asked for, a little later.
-RawEndpoint::Script LateStray(std::atomic<bool>& strayed) {
-  return [&strayed](RawConnection& it) {
+// Answers each request with its target; on the first connection sends one
+// additional unsolicited answer a little later.
+RawEndpoint::Script SendLateStray(std::atomic<bool>& stray_sent) {
+  return [&stray_sent](RawConnection& it) {
     while (true) {
       const std::string request = it.ReadMessage();
       if (request.empty()) {
@@ -33,27 +33,26 @@
       const std::size_t start = request.find(' ') + 1;
       it.Send(
           OkAnswer(request.substr(start, request.find(' ', start) - start)));
-      if (!strayed) {
+      if (!stray_sent) {
         std::this_thread::sleep_for(milliseconds(20));
         it.Send(OkAnswer("stray"));
-        strayed = true;
+        stray_sent = true;
       }
     }
   };
 }
 
-// The caller of the second call would get the stray answer of the first: two
-// answers come for one request, the second late, and a client that keeps the
-// connection takes the bytes that it finds there for its next answer. Only a
-// connection with nothing to read is fit for a call.
+// An endpoint answers one request twice, the second time late. A client that
+// keeps the connection would read the stray bytes as the answer to its next
+// call. Only a connection without unread input may be used for a call.
 TEST_CASE("a late stray answer never becomes the next call's answer") {
-  std::atomic<bool> strayed = false;
-  const RawEndpoint endpoint(LateStray(strayed));
+  std::atomic<bool> stray_sent = false;
+  const RawEndpoint endpoint(SendLateStray(stray_sent));
   ProxyFixture proxy({.endpoint_ports = {endpoint.port()}});
   RawConnection caller = proxy.Connect();
   caller.Send(GetRequest("/first"));
   CHECK(BodyOf(caller.ReadMessage()) == "/dispatch/first");
-  WaitFor(strayed);
+  WaitFor(stray_sent);
   for (int n = 0; n < 4; ++n) {
     caller.Send(GetRequest("/second"));
     CHECK(BodyOf(caller.ReadMessage()) == "/dispatch/second");
@@ -61,21 +60,21 @@
   CHECK(endpoint.connections() == 2);
 }
 
-// The same endpoint seen by a kept-alive cpp-httplib client: why the endpoints'
-// side does not use it as it comes.
+// The same endpoint with a keep-alive cpp-httplib client. Documents why that
+// client is not used for connections to endpoints.
 TEST_CASE("cpp-httplib's client hands a stray answer to the next call") {
-  std::atomic<bool> strayed = false;
-  const RawEndpoint endpoint(LateStray(strayed));
+  std::atomic<bool> stray_sent = false;
+  const RawEndpoint endpoint(SendLateStray(stray_sent));
   httplib::Client client("127.0.0.1", endpoint.port());
   client.set_keep_alive(true);
   CHECK(client.Get("/first")->body == "/first");
-  WaitFor(strayed);
+  WaitFor(stray_sent);
   CHECK(client.Get("/second")->body == "stray");
 }
 
-// As above, but the stray answer comes together with the one that was asked
-// for. It must not be kept for the next call, and the connection must go.
-TEST_CASE("bytes beyond the answer end the connection") {
+// As above, but the stray answer arrives together with the requested one. It
+// must not be used for the next call, and the connection must be closed.
+TEST_CASE("bytes after the answer close the connection") {
   const RawEndpoint endpoint([](RawConnection& it) {
     while (!it.ReadMessage().empty()) {
       it.Send(OkAnswer("asked") + OkAnswer("stray"));
@@ -90,8 +89,8 @@
   }
 }
 
-// Guards against a call that is sent while the endpoint closes its connection.
-TEST_CASE("a connection idles no longer than its endpoint said") {
+// Guards against sending a call while the endpoint closes the connection.
+TEST_CASE("a connection idles no longer than its endpoint's idle timeout") {
   const RawEndpoint endpoint([](RawConnection& it) {
     while (!it.ReadMessage().empty()) {
       it.Send(
@@ -118,10 +117,10 @@
   std::string bytes;
 };
 
-// Each answer is cut short or could be read in two ways. The endpoint may have
-// run the command all the same, so the caller must hear `unknown` and see none
-// of the bytes, and the command must not be sent again.
-TEST_CASE("an answer that is not surely whole is never passed on") {
+// Each answer is truncated or ambiguous. The endpoint may have run the command,
+// so the caller must be told `unknown` and get none of the bytes, and the
+// command must not be sent again.
+TEST_CASE("an answer that may be incomplete is never passed on") {
   const std::string ok = "HTTP/1.1 200 OK\r\n";
   const std::vector<BadAnswer> answers = {
       {"nothing", ""},
@@ -149,7 +148,8 @@
     INFO(std::string(bad.what));
     std::atomic<int> seen = 0;
     const RawEndpoint endpoint([&](RawConnection& it) {
-      // A connection without a request asks whether the endpoint lives.
+      // A connection without a request is a check whether the endpoint is
+      // running.
       seen += it.ReadMessage().empty() ? 0 : 1;
       it.Send(bad.bytes);
     });
@@ -188,10 +188,10 @@
   CHECK(BodyOf(answer) == "final");
 }
 
-// The endpoint answers after the head of a long request and reads no more. A
-// sender that first writes all of it would wait for room until the deadline
-// and report a timeout for an answer that is there. The close must reach the
-// endpoint past the bytes that it never read.
+// The endpoint answers after the head of a long request and stops reading. A
+// client that first writes the whole request would block until the deadline and
+// report a timeout although the answer has arrived. The endpoint must notice
+// the close despite the bytes that it never read.
 TEST_CASE("an answer before the end of a long request is passed on") {
   constexpr std::size_t kBody = 24U << 20U;
   std::atomic<bool> ended = false;
@@ -213,7 +213,7 @@
   CHECK(hung_up);
 }
 
-TEST_CASE("an endpoint that never answers is given up at the deadline") {
+TEST_CASE("an endpoint that never answers is abandoned at the deadline") {
   const RawEndpoint endpoint([](RawConnection& it) { it.WaitForHangUp(); });
   ProxyFixture proxy({.endpoint_ports = {endpoint.port()}});
   const std::string answer =
@@ -230,8 +230,8 @@
   CHECK(HeaderOf(answer, "Damasktack-Outcome") == "not-run");
 }
 
-// The endpoint closes a kept-alive connection after its answer. A command
-// written into it would have an unknown outcome, so it must go out on another
+// The endpoint closes a keep-alive connection after its answer. A command sent
+// on it would have an unknown outcome, so it must be sent on another
 // connection.
 TEST_CASE("an idle connection that the endpoint closed is not used") {
   std::atomic<bool> closed = false;
@@ -252,8 +252,9 @@
   CHECK(endpoint.connections() == 3);
 }
 
-// A draining endpoint says so on its answer and then closes. The connection is
-// not kept, so no later call can meet that close.
+// A draining endpoint reports this with its answer and then closes. The
+// connection must not be kept, so that no later call is sent while it is
+// closed.
 TEST_CASE("no connection to a draining endpoint is kept") {
   std::atomic<bool> ended = false;
   std::atomic<bool> hung_up = false;
@@ -275,8 +276,8 @@
   CHECK(hung_up);
 }
 
-// An endpoint mixes up two calls on one connection. Where the service's
-// endpoints repeat the call's id, the wrong answer is caught.
+// An endpoint confuses two calls on one connection. If the service's endpoints
+// echo the call id, the wrong answer must be detected.
 TEST_CASE("an answer that names another call is refused") {
   const RawEndpoint endpoint([](RawConnection& it) {
     it.ReadMessage();
@@ -291,7 +292,7 @@
   CHECK(answer.find("other") == std::string::npos);
 }
 
-TEST_CASE("an answer that repeats the call's id is passed on") {
+TEST_CASE("an answer that echoes the call's id is passed on") {
   const RawEndpoint endpoint([](RawConnection& it) {
     const std::string request = it.ReadMessage();
     it.Send(OkAnswer("ran", "Damasktack-Call: " +
--- a/tests/proxy/test_endpoint_pool.cc
+++ b/tests/proxy/test_endpoint_pool.cc
@@ -14,9 +14,9 @@
 
 using std::chrono::seconds;
 
-class PoolStage {
+class PoolFixture {
  public:
-  PoolStage() : endpoint_([](RawConnection& it) { it.WaitForHangUp(); }) {}
+  PoolFixture() : endpoint_([](RawConnection& it) { it.WaitForHangUp(); }) {}
 
   EndpointTarget Target(std::size_t connections) const {
     return {SocketAddress{"127.0.0.1", endpoint_.port()}, connections};
@@ -32,66 +32,67 @@
   asio::io_context context_;
 };
 
-TEST_CASE("a pool keeps no more connections than its part, used ones counted") {
-  PoolStage stage;
-  const EndpointTarget target = stage.Target(2);
+TEST_CASE("idle and used connections together stay within the pool's share") {
+  PoolFixture fixture;
+  const EndpointTarget target = fixture.Target(2);
   EndpointPool pool(seconds(4));
   const TimePoint now = Clock::now();
   for (int n = 0; n < 3; ++n) {
     CHECK(!pool.Take(target, now));
   }
-  pool.Put(target, stage.Open(), now);
+  pool.Put(target, fixture.Open(), now);
   CHECK(pool.idle(target.address) == 0);
-  pool.Put(target, stage.Open(), now);
+  pool.Put(target, fixture.Open(), now);
   CHECK(pool.idle(target.address) == 1);
-  pool.Put(target, stage.Open(), now);
+  pool.Put(target, fixture.Open(), now);
   CHECK(pool.idle(target.address) == 2);
   CHECK(pool.Take(target, now));
   CHECK(pool.idle(target.address) == 1);
 }
 
-// The endpoint closes what idles for five seconds. A connection is given up
-// before, since a call that meets the close has an unknown outcome.
-TEST_CASE("a connection that has idled for too long is not used") {
-  PoolStage stage;
-  const EndpointTarget target = stage.Target(2);
+// The endpoint closes connections that have been idle for five seconds. The
+// pool must drop them earlier, because a call sent during the close has an
+// unknown outcome.
+TEST_CASE("a connection that has been idle for too long is not used") {
+  PoolFixture fixture;
+  const EndpointTarget target = fixture.Target(2);
   EndpointPool pool(seconds(4));
   const TimePoint now = Clock::now();
   pool.Take(target, now);
-  pool.Put(target, stage.Open(), now);
+  pool.Put(target, fixture.Open(), now);
   CHECK(!pool.Take(target, now + seconds(4)));
-  pool.Put(target, stage.Open(), now + seconds(4));
+  pool.Put(target, fixture.Open(), now + seconds(4));
   pool.Expire(now + seconds(7));
   CHECK(pool.idle(target.address) == 1);
   pool.Expire(now + seconds(8));
   CHECK(pool.idle(target.address) == 0);
 }
 
-// A call waits for an answer until its deadline, and nobody knows whether it
-// ran. Its endpoint lost power and started again at the same address; the
-// connection from before is silent, and only looks like an idle one.
-TEST_CASE("connections to a process are not used for the one after it") {
-  PoolStage stage;
-  EndpointTarget target = stage.Target(4);
+// An endpoint loses power and restarts at the same address. The connection to
+// the old process has no input, so it looks idle; a call sent on it would wait
+// until its deadline with an unknown outcome.
+TEST_CASE("connections to a process are not used for its successor") {
+  PoolFixture fixture;
+  EndpointTarget target = fixture.Target(4);
   target.id = EndpointId("e1");
   EndpointPool pool(seconds(4));
   const TimePoint now = Clock::now();
   pool.Take(target, now);
   pool.Take(target, now);
-  pool.Put(target, stage.Open(), now);
+  pool.Put(target, fixture.Open(), now);
   CHECK(pool.idle(target.address) == 1);
   EndpointTarget restarted = target;
   restarted.started_at += std::chrono::milliseconds(1);
   CHECK(!pool.Take(restarted, now));
   CHECK(pool.idle(target.address) == 0);
-  // What was sent before the restart and ends now.
-  pool.Put(target, stage.Open(), now);
+  // A call that was sent before the restart and ends now.
+  pool.Put(target, fixture.Open(), now);
   CHECK(pool.idle(target.address) == 0);
-  pool.Put(restarted, stage.Open(), now);
+  pool.Put(restarted, fixture.Open(), now);
   CHECK(pool.Take(restarted, now));
 }
 
-TEST_CASE("an endpoint's connections are shared by hosts and threads") {
+TEST_CASE("an endpoint's connections are divided among hosts and threads") {
   ServiceSpec service;
   service.id = ServiceId("dispatch");
   EndpointSpec endpoint;
@@ -104,7 +105,7 @@
       std::make_unique<ServiceBalancer>(BalancerOptions{}, 1),
       ConnectionShare{2, 16}, rates, {});
   const TimePoint now = Clock::now();
-  const auto kept_with = [&](std::int64_t hosts, CallToken token) {
+  const auto connections_with = [&](std::int64_t hosts, CallToken token) {
     dispatcher.SetService(service, hosts, now);
     std::optional<Placement> placed;
     CallOffer offer;
@@ -121,9 +122,9 @@
         offer, end, [](const Placement&) {}, now);
     return placed->target.connections;
   };
-  CHECK(kept_with(1, 1) == 16);
-  CHECK(kept_with(17, 2) == 7);
-  CHECK(kept_with(1000, 3) == 1);
+  CHECK(connections_with(1, 1) == 16);
+  CHECK(connections_with(17, 2) == 7);
+  CHECK(connections_with(1000, 3) == 1);
 }
 
 }  // namespace
--- a/tests/proxy/test_endpoint_signals_codec.cc
+++ b/tests/proxy/test_endpoint_signals_codec.cc
@@ -17,7 +17,7 @@
   return ReadEndpointSignals(answer, names);
 }
 
-TEST_CASE("a stated limit is a decimal number that is not negative") {
+TEST_CASE("a rate limit is a non-negative decimal number") {
   CHECK(Read("Endpoint-Limit", "1.5").rate_limit == 1.5);
   CHECK(Read("endpoint-limit", "20").rate_limit == 20);
   CHECK(Read("Endpoint-Limit", "0").rate_limit == 0);
@@ -39,7 +39,7 @@
   return ReadEndpointSignals(answer, {});
 }
 
-TEST_CASE("a refusal with Retry-After asks for rest") {
+TEST_CASE("a refusal with Retry-After requests a pause") {
   using std::chrono::milliseconds;
   const auto unavailable = http::status::service_unavailable;
   CHECK(ReadRetryAfter(unavailable, "3").rest == milliseconds(3000));
@@ -53,14 +53,14 @@
   CHECK_FALSE(ReadRetryAfter(http::status::ok, "3").rest);
 }
 
-// Guards against an endpoint that is left alone for what a service behind it
-// asked of it.
-TEST_CASE("a refusal that an endpoint passes on asks for no rest") {
+// Guards against pausing an endpoint because of a refusal by a service behind
+// it.
+TEST_CASE("a refusal that an endpoint passes on requests no pause") {
   CHECK_FALSE(
       ReadRetryAfter(http::status::service_unavailable, "3", true).rest);
 }
 
-TEST_CASE("an endpoint says that it leaves by a header of its own") {
+TEST_CASE("an endpoint announces its shutdown in a header") {
   const ProtocolNames names = KvProtocolNames();
   CHECK(Read("X-Damasktack-Server-Leaving", "1", names).leaving);
   CHECK(Read("Server-Leaving", "1", names).leaving);
@@ -77,7 +77,7 @@
   CHECK_FALSE(ParseKeepAliveTimeout("timeout=-1"));
 }
 
-TEST_CASE("on a platform with a store the limit has either name") {
+TEST_CASE("with the store protocol the limit may have either header name") {
   const ProtocolNames names = KvProtocolNames();
   CHECK(Read("X-Damasktack-Server-Limit", "1.2", names).rate_limit == 1.2);
   CHECK(Read("Server-Limit", "1.2", names).rate_limit == 1.2);
--- a/tests/proxy/test_published_routes.cc
+++ b/tests/proxy/test_published_routes.cc
@@ -26,20 +26,20 @@
          std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// An answer that names the call of the request.
+// Returns an answer that echoes the request's call id.
 std::string AnswerTo(const std::string& request, const std::string& body) {
   return OkAnswer(
       body, std::string(kCall) + ": " + HeaderOf(request, kCall) + "\r\n");
 }
 
-constexpr auto kFree = "X-Damasktack-Server-Load: 0,0,16,100\r\n";
+constexpr auto kIdleLoad = "X-Damasktack-Server-Load: 0,0,16,100\r\n";
 
-// What a free endpoint says to a probe.
-std::string HealthOf(const std::string& id) {
-  return OkAnswer("", "X-Damasktack-Instance-Id: " + id + "\r\n" + kFree);
+// Returns an idle endpoint's answer to a probe.
+std::string ProbeAnswer(const std::string& id) {
+  return OkAnswer("", "X-Damasktack-Instance-Id: " + id + "\r\n" + kIdleLoad);
 }
 
-// A host whose callers go by routes: "/read/" is safe, "/write/" is not.
+// A host that uses routes: "/read/" is idempotent, "/write/" is not.
 class RouteFixture {
  public:
   explicit RouteFixture(const std::vector<std::uint16_t>& ports,
@@ -47,7 +47,7 @@
     ProxyOptions options = ProxyFixture::FastOptions();
     options.names = KvProtocolNames();
     options.measures_before_sending = measures;
-    // Each call may be sent once more, whatever came before.
+    // Each call may be retried once, independent of earlier calls.
     options.balancer.retries.service_percent = 100;
     state_ = std::make_unique<ProxyState>(options, limits_, claims_);
     server_ = std::make_unique<CallerServer>(*state_);
@@ -102,7 +102,7 @@
   std::unique_ptr<CallerServer> server_;
 };
 
-TEST_CASE("a request goes on unchanged, to the endpoint that it names") {
+TEST_CASE("a request is forwarded unchanged and names its endpoint") {
   std::string seen;
   const RawEndpoint endpoint([&](RawConnection& it) {
     seen = it.ReadMessage();
@@ -123,10 +123,10 @@
   CHECK(BodyOf(seen) == "body");
 }
 
-// A caller reaches a host that has just started and does not know the routes
-// yet. Refused at once it would have used up its retry although the host knows
-// them a moment later; its call waits for them instead.
-TEST_CASE("a call waits for a starting host that is about to know the routes") {
+// A caller reaches a host that has just started and has no routes yet. An
+// immediate refusal would use up the caller's retry although the host gets the
+// routes a moment later, so the call must wait for them.
+TEST_CASE("a call waits for a starting host that is about to get its routes") {
   const RawEndpoint endpoint([&](RawConnection& it) {
     it.Send(AnswerTo(it.ReadMessage(), "ran"));
     it.WaitForHangUp();
@@ -138,8 +138,8 @@
   CHECK(StatusOf(proxy.Ask(Request("GET", "/read/x", "c-1"))) == 200);
 }
 
-// The store is out of reach when the host starts, so nobody knows when it will
-// have routes. Its callers are told at once that nothing ran.
+// The store is unreachable when the host starts, so it is unknown when the host
+// will have routes. Callers must be told at once that nothing ran.
 TEST_CASE("a host that stays without routes refuses at once") {
   const RouteFixture proxy({});
   proxy.state().SetIsCurrent([] { return false; }, Clock::now());
@@ -148,10 +148,10 @@
   CHECK(HeaderOf(answer, "Retry-After") == "0.150");
 }
 
-// Endpoints refuse some calls although there is room at others, and the budget
-// for repeats is spent. A caller that is sent away for a second comes back too
-// late for its objective; there is room for it at once.
-TEST_CASE("a caller whose call one endpoint refused may come back at once") {
+// Endpoints refuse some calls although others have free capacity, and the retry
+// budget is used up. A caller that is told to wait for a second would miss its
+// latency objective, although it could be served at once.
+TEST_CASE("a caller whose call one endpoint refused may retry at once") {
   const auto refuse = [](RawConnection& it) {
     for (std::string request = it.ReadMessage(); !request.empty();
          request = it.ReadMessage()) {
@@ -173,7 +173,7 @@
   CHECK(retry_after < 0.1);
 }
 
-TEST_CASE("no route means 404, and another host's route is none") {
+TEST_CASE("no route means 404, also if another host has a matching route") {
   const RouteFixture proxy({});
   CHECK(StatusOf(proxy.Ask(Request("GET", "/other/", "c-1"))) == 404);
   CHECK(StatusOf(proxy.Ask(Request("GET", "/read", "c-1"))) == 404);
@@ -182,9 +182,9 @@
   CHECK(StatusOf(proxy.Ask(request)) == 404);
 }
 
-// A renewal is sent to an endpoint whose address has passed to another one.
-// That one refuses it unrun, so it may be sent elsewhere although it must not
-// run twice.
+// A non-idempotent call is sent to an endpoint whose address has been
+// reassigned to another endpoint. That endpoint refuses it without running it,
+// so it may be sent elsewhere.
 TEST_CASE("a request for an endpoint that is gone is sent to another") {
   std::atomic<int> refused = 0;
   const RawEndpoint other([&](RawConnection& it) {
@@ -200,11 +200,11 @@
     }
   });
   const RouteFixture proxy({other.port(), right.port()});
-  // Each call is drawn to one of the two; all of the first eight go to the
-  // right one in about 1 run of 200, and then nothing has been tried yet.
-  constexpr int kFewest = 8;
-  constexpr int kMost = 64;
-  for (int n = 0; n < kFewest || (refused == 0 && n < kMost); ++n) {
+  // Each call goes to one of the two at random. In about 1 run of 200 the first
+  // eight all go to the right endpoint, and the case has not been tested.
+  constexpr int kMinCalls = 8;
+  constexpr int kMaxCalls = 64;
+  for (int n = 0; n < kMinCalls || (refused == 0 && n < kMaxCalls); ++n) {
     const std::string answer =
         proxy.Ask(Request("POST", "/write/x", "c-" + std::to_string(n)));
     CHECK(StatusOf(answer) == 200);
@@ -212,17 +212,18 @@
   CHECK(refused >= 1);
 }
 
-// Renewals are refused, each after two endpoints refused it unrun. Those are
-// gone and their addresses have passed to endpoints of another service. These
-// say that they did not run the call, as one does that is full, and they answer
-// probes: free as they are, they drew the next calls as well.
-TEST_CASE("an address that passed to another endpoint gets one call at most") {
+// The addresses of two endpoints that are gone have been reassigned to
+// endpoints of another service. These refuse a call without running it, as an
+// overloaded endpoint does, and answer probes as idle. When this was treated as
+// overload, they attracted the next calls as well, and callers were refused
+// after two attempts.
+TEST_CASE("a reassigned endpoint address gets at most one call") {
   std::atomic<int> refused = 0;
   const RawEndpoint other([&](RawConnection& it) {
     for (std::string request = it.ReadMessage(); !request.empty();
          request = it.ReadMessage()) {
       if (request.starts_with("GET /health")) {
-        it.Send(HealthOf("i-another"));
+        it.Send(ProbeAnswer("i-another"));
         continue;
       }
       ++refused;
@@ -235,10 +236,10 @@
     for (std::string request = it.ReadMessage(); !request.empty();
          request = it.ReadMessage()) {
       const bool is_probe = request.starts_with("GET /health");
-      it.Send(is_probe ? HealthOf("i-1")
+      it.Send(is_probe ? ProbeAnswer("i-1")
                        : OkAnswer("ran", std::string(kCall) + ": " +
                                              HeaderOf(request, kCall) + "\r\n" +
-                                             kFree));
+                                             kIdleLoad));
     }
   });
   for (const bool measures : {false, true}) {
@@ -254,9 +255,9 @@
   }
 }
 
-// A caller waits for its answer, and the first answer on the connection is a
-// second one to an earlier call. Its own stands right behind.
-TEST_CASE("an answer to an earlier call is passed over") {
+// The first answer on the connection is a duplicate answer to an earlier call.
+// The caller's own answer follows directly and must be used.
+TEST_CASE("a duplicate answer to an earlier call is skipped") {
   const RawEndpoint endpoint([](RawConnection& it) {
     const std::string request = it.ReadMessage();
     it.Send(OkAnswer("another's", std::string(kCall) + ": c-0\r\n") +
@@ -284,7 +285,7 @@
   CHECK(HeaderOf(answer, "Content-Length") == "9");
 }
 
-TEST_CASE("an answer without a length that is reset is not whole") {
+TEST_CASE("an answer without a length that ends by reset is incomplete") {
   const RawEndpoint endpoint([](RawConnection& it) {
     const std::string request = it.ReadMessage();
     it.Send("HTTP/1.1 200 OK\r\n" + std::string(kCall) + ": " +
@@ -295,17 +296,17 @@
   CHECK(StatusOf(proxy.Ask(Request("POST", "/write/x", "c-1"))) == 502);
 }
 
-// A keeper's tablet sends further status reads before the first is answered.
-// Served one after the other, the last would take the time of all of them.
-TEST_CASE("safe requests that are sent ahead are served at the same time") {
-  std::atomic<int> at_work = 0;
-  std::atomic<int> most_at_work = 0;
+// A client pipelines several status reads. If they were served one after the
+// other, the last would take as long as all of them together.
+TEST_CASE("pipelined safe requests are served concurrently") {
+  std::atomic<int> running = 0;
+  std::atomic<int> max_running = 0;
   const RawEndpoint endpoint([&](RawConnection& it) {
     const std::string request = it.ReadMessage();
-    const int now = ++at_work;
-    most_at_work = std::max<int>(most_at_work, now);
+    const int now = ++running;
+    max_running = std::max<int>(max_running, now);
     std::this_thread::sleep_for(milliseconds(80));
-    --at_work;
+    --running;
     it.Send(AnswerTo(request, HeaderOf(request, kCall)));
     it.WaitForHangUp();
   });
@@ -317,18 +318,18 @@
   for (const char* it : {"c-1", "c-2", "c-3"}) {
     CHECK(BodyOf(caller.ReadMessage()) == it);
   }
-  CHECK(most_at_work == 3);
+  CHECK(max_running == 3);
 }
 
-TEST_CASE("requests that may run once are served one after the other") {
-  std::atomic<int> at_work = 0;
-  std::atomic<int> most_at_work = 0;
+TEST_CASE("pipelined unsafe requests are served one after the other") {
+  std::atomic<int> running = 0;
+  std::atomic<int> max_running = 0;
   const RawEndpoint endpoint([&](RawConnection& it) {
     for (std::string request = it.ReadMessage(); !request.empty();
          request = it.ReadMessage()) {
-      most_at_work = std::max<int>(most_at_work, ++at_work);
+      max_running = std::max<int>(max_running, ++running);
       std::this_thread::sleep_for(milliseconds(30));
-      --at_work;
+      --running;
       it.Send(AnswerTo(request, HeaderOf(request, kCall)));
     }
   });
@@ -338,12 +339,12 @@
               Request("POST", "/write/2", "c-2"));
   CHECK(BodyOf(caller.ReadMessage()) == "c-1");
   CHECK(BodyOf(caller.ReadMessage()) == "c-2");
-  CHECK(most_at_work == 1);
+  CHECK(max_running == 1);
 }
 
-// The caller closes while three of its requests run. They stop at the
-// endpoint, so that they take no slots from others.
-TEST_CASE("a caller that leaves cancels all that it sent ahead") {
+// The caller closes the connection while three of its requests run. They must
+// be cancelled at the endpoint to free its slots.
+TEST_CASE("a caller that disconnects cancels all its pipelined requests") {
   std::atomic<int> cancelled = 0;
   const RawEndpoint endpoint([&](RawConnection& it) {
     it.ReadMessage();
@@ -366,7 +367,7 @@
   CHECK(cancelled == 3);
 }
 
-TEST_CASE("a refusal says when to come back, to the millisecond") {
+TEST_CASE("a refusal states Retry-After to the millisecond") {
   const RouteFixture proxy({});
   const std::string answer = proxy.Ask(Request("GET", "/read/x", "c-1"));
   CHECK(StatusOf(answer) == 503);
--- a/tests/proxy/test_request_check.cc
+++ b/tests/proxy/test_request_check.cc
@@ -12,8 +12,8 @@
 namespace damasktack {
 namespace {
 
-// One request that two servers in a row may cut into requests differently, or
-// that is a mistake of its sender, with the status that refuses it.
+// A request that two servers in a chain may split differently, or that is
+// malformed, with the status of its refusal.
 struct BadRequest {
   const char* what;
   std::string bytes;
@@ -31,7 +31,7 @@
          std::string(headers) + "\r\n";
 }
 
-std::string Many(std::string_view line, int times) {
+std::string Repeat(std::string_view line, int times) {
   std::string all;
   for (int n = 0; n < times; ++n) {
     all += line;
@@ -96,7 +96,7 @@
        Get("/dispatch", "Damasktack-Depth: -1\r\n")},
       {"a deadline that is no number",
        Get("/dispatch", "Damasktack-Deadline-Ms: 5s\r\n")},
-      {"too many headers", Get("/dispatch", Many("X-A: 1\r\n", 200)), 431},
+      {"too many headers", Get("/dispatch", Repeat("X-A: 1\r\n", 200)), 431},
       {"oversized headers",
        Get("/dispatch", "X-A: " + std::string(40'000, 'a') + "\r\n"), 431},
       {"an expectation that nobody knows",
@@ -135,11 +135,11 @@
   return all;
 }
 
-// The caller sends a request whose end another server could see elsewhere, so
-// that the rest of it would be taken for a request of its own: that one would
-// run under somebody else's connection. The caller gets a 4xx or 5xx that says
-// what to mend and `not-run`; the connection ends, and no endpoint saw it.
-TEST_CASE("a request with a doubtful shape is refused and reaches nobody") {
+// Guards against request smuggling: another server could see the end of the
+// request elsewhere and run the rest as a separate request on somebody else's
+// connection. The caller must get a 4xx or 5xx with a remedy and `not-run`, the
+// connection must be closed, and nothing may reach an endpoint.
+TEST_CASE("an ambiguous request is refused and reaches no endpoint") {
   std::atomic<int> seen = 0;
   const RawEndpoint endpoint([&](RawConnection& it) {
     while (!it.ReadMessage().empty()) {
@@ -162,10 +162,10 @@
   CHECK(seen == 0);
 }
 
-// A command's rule says that it must not repeat. Its caller, or a library on
-// the way, spells the path otherwise; the endpoint still runs the command. The
-// rule must apply to every spelling.
-TEST_CASE("rules see one path for all spellings of it") {
+// A rule forbids repeating a command. A caller or a library may encode the path
+// differently, and the endpoint still runs the command. The rule must apply to
+// every spelling.
+TEST_CASE("rules apply to all spellings of a path") {
   for (const char* target :
        {"/dispatch/cut", "/dispatch/%63ut", "//dispatch///cut",
         "/dispatch%2Fcut", "/%64ispatch/cut?now=1/2"}) {
@@ -176,7 +176,7 @@
   CHECK(PathForRules("/a/?b") == "/a/");
 }
 
-TEST_CASE("an escaped path finds its service and goes on as it came") {
+TEST_CASE("an escaped path finds its service and is forwarded unchanged") {
   std::string request;
   const RawEndpoint endpoint([&](RawConnection& it) {
     request = it.ReadMessage();
@@ -188,9 +188,9 @@
   CHECK(request.starts_with("GET /%64ispatch/a%20b HTTP/1.1\r\n"));
 }
 
-// Why the callers' side is not served by cpp-httplib: its server answers these
-// shapes with 200 and hands them to the handler.
-TEST_CASE("cpp-httplib's server takes doubtful shapes for good requests") {
+// Documents why cpp-httplib is not used to serve callers: its server passes
+// these requests to the handler and answers 200.
+TEST_CASE("cpp-httplib's server accepts ambiguous requests") {
   httplib::Server server;
   std::atomic<int> handled = 0;
   const auto handler = [&](const httplib::Request&, httplib::Response&) {
@@ -200,13 +200,13 @@
   server.Post("/dispatch/cut", handler);
   const int port = server.bind_to_any_port("127.0.0.1");
   std::thread thread([&] { server.listen_after_bind(); });
-  const std::array<std::string, 4> shapes = {
+  const std::array<std::string, 4> requests = {
       Post("Content-Length: 5\r\nContent-Length: 6\r\n", "hello!"),
       Post("Content-Length: 5, 5\r\n"), Post("Content-Length: +5\r\n"),
       "GET /dispatch HTTP/1.1\r\nDamasktack-Key: key\r\n\r\n"};
-  for (const std::string& shape : shapes) {
+  for (const std::string& request : requests) {
     RawConnection caller = RawConnection::To(static_cast<std::uint16_t>(port));
-    caller.Send(shape);
+    caller.Send(request);
     CHECK(StatusOf(caller.ReadMessage()) == 200);
   }
   CHECK(handled == 4);
--- a/tests/proxy/test_unknown_headers.cc
+++ b/tests/proxy/test_unknown_headers.cc
@@ -11,7 +11,7 @@
 namespace damasktack {
 namespace {
 
-// What is logged of the answer, at the level given.
+// Returns what is logged for the answer at the given level.
 std::string Logged(const HttpResponse& answer,
                    spdlog::level::level_enum level) {
   std::ostringstream out;
@@ -34,8 +34,8 @@
   return n;
 }
 
-// Guards against an endpoint's words that nobody ever learns of.
-TEST_CASE("a header of an endpoint that is not known is shown once") {
+// Guards against endpoint headers that are ignored without a trace.
+TEST_CASE("an unknown endpoint header is logged once") {
   HttpResponse answer(http::status::ok, 11);
   answer.set("Endpoint-Wish", "less");
   answer.set("Endpoint-Load", "in_flight=0, queued=0, slots=4, mode=serving");
