--- a/tests/wire/test_link_auth.cc
+++ b/tests/wire/test_link_auth.cc
@@ -6,8 +6,8 @@
 namespace damasktack {
 namespace {
 
-TEST_CASE("a greeting comes back, with bytes of a newer version after it") {
-  const LinkGreeting greeting{"h1", ~std::uint64_t{0}, DrawNonce()};
+TEST_CASE("a greeting with trailing bytes of a newer version is decoded") {
+  const LinkGreeting greeting{"h1", ~std::uint64_t{0}, GenerateNonce()};
   const auto got = DecodeGreeting(EncodeGreeting(greeting) + "newer");
   REQUIRE(got);
   CHECK(got->host == "h1");
@@ -15,21 +15,21 @@
   CHECK(got->nonce == greeting.nonce);
 }
 
-TEST_CASE("bytes that are no greeting are refused") {
+TEST_CASE("bytes that are not a greeting are refused") {
   CHECK(rc::check([](const std::string& bytes) { DecodeGreeting(bytes); }));
-  const std::string whole = EncodeGreeting({"host", 1, DrawNonce()});
+  const std::string whole = EncodeGreeting({"host", 1, GenerateNonce()});
   for (std::size_t n = 0; n < whole.size(); ++n) {
     CHECK_FALSE(DecodeGreeting(whole.substr(0, n)));
   }
 }
 
 TEST_CASE("proofs differ by key, by link and by role") {
-  const std::string one = EncodeGreeting({"a", 1, DrawNonce()});
-  const std::string two = EncodeGreeting({"b", 2, DrawNonce()});
-  const std::string later = EncodeGreeting({"b", 2, DrawNonce()});
+  const std::string one = EncodeGreeting({"a", 1, GenerateNonce()});
+  const std::string two = EncodeGreeting({"b", 2, GenerateNonce()});
+  const std::string later = EncodeGreeting({"b", 2, GenerateNonce()});
   const LinkSecrets secrets("key", one, two);
-  CHECK(SameSecret(secrets.DialerProof(),
-                   LinkSecrets("key", one, two).DialerProof()));
+  CHECK(ConstantTimeEquals(secrets.DialerProof(),
+                           LinkSecrets("key", one, two).DialerProof()));
   CHECK(secrets.DialerProof() != LinkSecrets("yek", one, two).DialerProof());
   CHECK(secrets.DialerProof() != LinkSecrets("key", one, later).DialerProof());
   CHECK(secrets.DialerProof() != LinkSecrets("key", two, one).DialerProof());
@@ -37,11 +37,11 @@
   CHECK(secrets.DialerFrameKey() != secrets.AcceptorFrameKey());
 }
 
-TEST_CASE("a frame opens once, in its order, and unchanged") {
-  FrameSeal sealer("key");
+TEST_CASE("a frame is accepted once, in order, and unchanged") {
+  FrameAuthenticator sealer("key");
   const std::string first = sealer.Seal("one");
   const std::string second = sealer.Seal("two");
-  FrameSeal opener("key");
+  FrameAuthenticator opener("key");
   CHECK_FALSE(opener.Open(second));
   CHECK(opener.Open(first) == "one");
   CHECK_FALSE(opener.Open(first));
--- a/tests/wire/test_websocket_transport.cc
+++ b/tests/wire/test_websocket_transport.cc
@@ -21,10 +21,10 @@
 namespace beast = boost::beast;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kLongWait{10'000};
+constexpr milliseconds kWaitTimeout{10'000};
 
 bool WaitFor(const std::function<bool()>& condition) {
-  const auto last = std::chrono::steady_clock::now() + kLongWait;
+  const auto last = std::chrono::steady_clock::now() + kWaitTimeout;
   while (!condition()) {
     if (std::chrono::steady_clock::now() > last) {
       return false;
@@ -39,7 +39,7 @@
   void OnLinkUp(const std::string& host, std::uint64_t incarnation) override {
     const std::lock_guard lock(mutex_);
     up_[host] = incarnation;
-    ++ups_;
+    ++link_up_count_;
   }
   void OnLinkDown(const std::string& host, std::uint64_t incarnation) override {
     const std::lock_guard lock(mutex_);
@@ -53,7 +53,7 @@
     const std::lock_guard lock(mutex_);
     frames_.push_back(std::move(frame));
   }
-  std::uint64_t UpAs(const std::string& host) const {
+  std::uint64_t IncarnationOf(const std::string& host) const {
     const std::lock_guard lock(mutex_);
     const auto it = up_.find(host);
     return it == up_.end() ? 0 : it->second;
@@ -62,16 +62,16 @@
     const std::lock_guard lock(mutex_);
     return frames_;
   }
-  int ups() const {
+  int link_up_count() const {
     const std::lock_guard lock(mutex_);
-    return ups_;
+    return link_up_count_;
   }
 
  private:
   mutable std::mutex mutex_;
   std::map<std::string, std::uint64_t> up_;
   std::vector<std::string> frames_;
-  int ups_ = 0;
+  int link_up_count_ = 0;
 };
 
 struct Host {
@@ -109,7 +109,8 @@
   bool started = false;
 };
 
-// A peer made by hand, for what no daemon would send.
+// A peer that sends bytes chosen by the test, for input that no daemon would
+// send.
 class RawPeer {
  public:
   explicit RawPeer(std::uint16_t port) : stream_(context_) {
@@ -121,7 +122,7 @@
     beast::error_code ec;
     stream_.write(asio::buffer(bytes), ec);
   }
-  // Empty where the connection ended.
+  // Returns an empty text if the connection has ended.
   std::string Read() {
     beast::flat_buffer buffer;
     beast::error_code ec;
@@ -141,9 +142,9 @@
   std::string frame_key;
 };
 
-// Opens a link by hand with the right key.
-Handshake OpenByHand(RawPeer& peer, const std::string& host) {
-  const std::string own = EncodeGreeting({host, 9, DrawNonce()});
+// Opens a link with the right key.
+Handshake OpenLink(RawPeer& peer, const std::string& host) {
+  const std::string own = EncodeGreeting({host, 9, GenerateNonce()});
   peer.Write(own);
   const LinkSecrets secrets("the fleet's key", own, peer.Read());
   peer.Write(secrets.DialerProof());
@@ -158,8 +159,8 @@
   REQUIRE(two.started);
   one.transport.SetPeers({one.address, two.address});
   two.transport.SetPeers({one.address, two.address});
-  CHECK(WaitFor([&] { return one.events.UpAs("b") == 22; }));
-  CHECK(WaitFor([&] { return two.events.UpAs("a") == 11; }));
+  CHECK(WaitFor([&] { return one.events.IncarnationOf("b") == 22; }));
+  CHECK(WaitFor([&] { return two.events.IncarnationOf("a") == 11; }));
   CHECK(one.transport.Send("b", "hello"));
   CHECK(two.transport.Send("a", std::string(1'000'000, 'x')));
   CHECK(WaitFor([&] { return two.events.frames().size() == 1; }));
@@ -168,44 +169,45 @@
   CHECK_FALSE(one.transport.Send("unknown", "hello"));
 }
 
-TEST_CASE("a host that knows only an address finds the host behind it") {
+TEST_CASE("a host that knows only a seed address finds the host there") {
   Host one("a", 11);
   Host two("b", 22);
   two.transport.SetPeers({PeerAddress{"", "127.0.0.1", one.address.port}});
-  CHECK(WaitFor([&] { return two.events.UpAs("a") == 11; }));
+  CHECK(WaitFor([&] { return two.events.IncarnationOf("a") == 11; }));
 }
 
-TEST_CASE("a host that dials must not be on the other's list") {
+TEST_CASE("a host that dials need not be on the other's list") {
   Host one("a", 11);
   Host two("b", 22);
   two.transport.SetPeers({one.address});
-  CHECK(WaitFor([&] { return one.events.UpAs("b") == 22; }));
+  CHECK(WaitFor([&] { return one.events.IncarnationOf("b") == 22; }));
 }
 
-// A host is replaced by another process under the same id while the link of
-// the old one still looks open. The newer process must be reached, and named.
-TEST_CASE("a new process under the same id takes the place of the old") {
+// A new process replaces a host under the same id while the old process's link
+// still looks open. The link must switch to the new process and report its
+// incarnation.
+TEST_CASE("a new process under the same id replaces the old one") {
   Host one("a", 11);
   Host old("b", 22);
   old.transport.SetPeers({one.address});
-  CHECK(WaitFor([&] { return one.events.UpAs("b") == 22; }));
-  Host fresh("b", 33);
-  fresh.transport.SetPeers({one.address});
-  CHECK(WaitFor([&] { return one.events.UpAs("b") == 33; }));
+  CHECK(WaitFor([&] { return one.events.IncarnationOf("b") == 22; }));
+  Host successor("b", 33);
+  successor.transport.SetPeers({one.address});
+  CHECK(WaitFor([&] { return one.events.IncarnationOf("b") == 33; }));
 }
 
-TEST_CASE("a link comes back after its peer was gone") {
+TEST_CASE("a link is reopened when its peer restarts") {
   Host one("a", 11);
   auto two = std::make_unique<Host>("b", 22);
   const std::uint16_t port = two->address.port;
   one.transport.SetPeers({two->address});
-  CHECK(WaitFor([&] { return one.events.UpAs("b") == 22; }));
+  CHECK(WaitFor([&] { return one.events.IncarnationOf("b") == 22; }));
   two.reset();
-  CHECK(WaitFor([&] { return one.events.UpAs("b") == 0; }));
+  CHECK(WaitFor([&] { return one.events.IncarnationOf("b") == 0; }));
   Host again("b", 33, "the fleet's key",
              [&](auto& options) { options.listen_port = port; });
   REQUIRE(again.started);
-  CHECK(WaitFor([&] { return one.events.UpAs("b") == 33; }));
+  CHECK(WaitFor([&] { return one.events.IncarnationOf("b") == 33; }));
 }
 
 TEST_CASE("a host with another key is refused and counted") {
@@ -213,75 +215,75 @@
   Host stranger("b", 22, "another key");
   stranger.transport.SetPeers({one.address});
   CHECK(WaitFor([&] { return one.transport.counters().refused_proof > 0; }));
-  CHECK(one.events.ups() == 0);
-  CHECK(stranger.events.ups() == 0);
+  CHECK(one.events.link_up_count() == 0);
+  CHECK(stranger.events.link_up_count() == 0);
 }
 
-// Somebody records the bytes that a host sent when it opened a link and sends
-// them again on a connection of his own. Without a nonce of the accepting
-// side in the proof, he would be taken for that host.
-TEST_CASE("a recorded opening proves nothing on another connection") {
+// Replay attack: an outsider records the bytes that a host sent when it opened
+// a link and sends them on another connection. Without the accepting side's
+// nonce in the proof, the outsider would be accepted as that host.
+TEST_CASE("a recorded handshake is rejected on another connection") {
   Host one("a", 11);
   RawPeer peer(one.address.port);
-  const Handshake recorded = OpenByHand(peer, "b");
-  CHECK(WaitFor([&] { return one.events.UpAs("b") == 9; }));
+  const Handshake recorded = OpenLink(peer, "b");
+  CHECK(WaitFor([&] { return one.events.IncarnationOf("b") == 9; }));
   RawPeer replay(one.address.port);
   replay.Write(recorded.greeting);
   CHECK(replay.Read() != "");
   replay.Write(recorded.proof);
   CHECK(replay.Read() == "");
   CHECK(one.transport.counters().refused_proof == 1);
-  CHECK(one.events.ups() == 1);
-  CHECK(one.events.UpAs("b") == 9);
+  CHECK(one.events.link_up_count() == 1);
+  CHECK(one.events.IncarnationOf("b") == 9);
 }
 
-// A frame of a link is sent a second time on it. It must not be taken for a
-// new message: a grant or a goodbye would count twice.
-TEST_CASE("a repeated frame ends its link and nothing else") {
+// A frame is sent a second time on its link. It must not be accepted as a new
+// message, because a grant or a goodbye would count twice.
+TEST_CASE("a repeated frame closes only its own link") {
   Host one("a", 11);
   Host bystander("c", 44);
   bystander.transport.SetPeers({one.address});
-  CHECK(WaitFor([&] { return one.events.UpAs("c") == 44; }));
+  CHECK(WaitFor([&] { return one.events.IncarnationOf("c") == 44; }));
   RawPeer peer(one.address.port);
-  FrameSeal seal(OpenByHand(peer, "b").frame_key);
-  const std::string frame = seal.Seal("once");
+  FrameAuthenticator authenticator(OpenLink(peer, "b").frame_key);
+  const std::string frame = authenticator.Seal("once");
   peer.Write(frame);
   peer.Write(frame);
   CHECK(peer.Read() == "");
-  CHECK(WaitFor([&] { return one.events.UpAs("b") == 0; }));
+  CHECK(WaitFor([&] { return one.events.IncarnationOf("b") == 0; }));
   CHECK(one.events.frames() == std::vector<std::string>{"once"});
   CHECK(one.transport.counters().refused_frames == 1);
-  CHECK(one.events.UpAs("c") == 44);
+  CHECK(one.events.IncarnationOf("c") == 44);
 }
 
-TEST_CASE("a malformed or oversized frame costs its connection only") {
+TEST_CASE("a malformed or oversized frame closes only its connection") {
   Host one("a", 11, "the fleet's key",
            [](auto& options) { options.largest_frame = 1000; });
   Host bystander("c", 44);
   bystander.transport.SetPeers({one.address});
-  CHECK(WaitFor([&] { return one.events.UpAs("c") == 44; }));
+  CHECK(WaitFor([&] { return one.events.IncarnationOf("c") == 44; }));
 
-  RawPeer babbler(one.address.port);
-  babbler.Write("no greeting");
-  CHECK(babbler.Read() == "");
-  RawPeer texter(one.address.port);
-  texter.stream().text(true);
-  texter.Write("words");
-  CHECK(texter.Read() == "");
-  RawPeer early(one.address.port);
-  early.Write(std::string(kLargestGreeting + 1, 'x'));
-  CHECK(early.Read() == "");
-  RawPeer big(one.address.port);
-  FrameSeal seal(OpenByHand(big, "b").frame_key);
-  big.Write(seal.Seal(std::string(1001, 'x')));
-  CHECK(big.Read() == "");
+  RawPeer no_greeting(one.address.port);
+  no_greeting.Write("no greeting");
+  CHECK(no_greeting.Read() == "");
+  RawPeer text_sender(one.address.port);
+  text_sender.stream().text(true);
+  text_sender.Write("words");
+  CHECK(text_sender.Read() == "");
+  RawPeer large_greeting(one.address.port);
+  large_greeting.Write(std::string(kMaxGreetingBytes + 1, 'x'));
+  CHECK(large_greeting.Read() == "");
+  RawPeer large_frame(one.address.port);
+  FrameAuthenticator authenticator(OpenLink(large_frame, "b").frame_key);
+  large_frame.Write(authenticator.Seal(std::string(1001, 'x')));
+  CHECK(large_frame.Read() == "");
   CHECK(WaitFor([&] { return one.transport.counters().malformed == 4; }));
   CHECK(one.events.frames().empty());
-  CHECK(one.events.UpAs("c") == 44);
+  CHECK(one.events.IncarnationOf("c") == 44);
 }
 
-// Strangers open connections and stay silent. A bounded number of them is
-// held, for a bounded time, and a daemon of the fleet still gets in.
+// Outsiders open connections and send nothing. Only a bounded number is kept,
+// for a bounded time, and a daemon of the fleet can still connect.
 TEST_CASE("silent connections are bounded in number and time") {
   Host one("a", 11, "the fleet's key", [](auto& options) {
     options.unproved_connections = 4;
@@ -297,35 +299,35 @@
   CHECK(WaitFor([&] { return one.transport.counters().refused_full > 0; }));
   Host two("b", 22);
   two.transport.SetPeers({one.address});
-  CHECK(WaitFor([&] { return one.events.UpAs("b") == 22; }));
-  // Each of the twenty has been turned away, one way or the other.
+  CHECK(WaitFor([&] { return one.events.IncarnationOf("b") == 22; }));
+  // Each of the twenty must be refused, either over the limit or by timeout.
   CHECK(WaitFor([&] {
     const TransportCounters counted = one.transport.counters();
     return counted.refused_full + counted.refused_late >= 20;
   }));
 }
 
-// A peer stops reading. What is meant for it must not grow without bound.
+// A peer stops reading. The queue of frames for it must not grow without bound.
 TEST_CASE("the queue of one link is bounded") {
   Host one("a", 11, "the fleet's key",
            [](auto& options) { options.link_queue_bytes = 3'000'000; });
   RawPeer peer(one.address.port);
-  OpenByHand(peer, "b");
-  CHECK(WaitFor([&] { return one.events.UpAs("b") == 9; }));
+  OpenLink(peer, "b");
+  CHECK(WaitFor([&] { return one.events.IncarnationOf("b") == 9; }));
   CHECK(WaitFor(
       [&] { return !one.transport.Send("b", std::string(500'000, 'x')); }));
   CHECK(one.transport.counters().frames_dropped > 0);
 }
 
-TEST_CASE("links that a test cuts come back when it lets them") {
+TEST_CASE("blocked links are reopened when they are unblocked") {
   Host one("a", 11);
   Host two("b", 22);
   one.transport.SetPeers({two.address});
-  CHECK(WaitFor([&] { return one.events.UpAs("b") == 22; }));
+  CHECK(WaitFor([&] { return one.events.IncarnationOf("b") == 22; }));
   two.transport.CutLinksTo({"a"});
-  CHECK(WaitFor([&] { return one.events.UpAs("b") == 0; }));
+  CHECK(WaitFor([&] { return one.events.IncarnationOf("b") == 0; }));
   two.transport.CutLinksTo({});
-  CHECK(WaitFor([&] { return one.events.UpAs("b") == 22; }));
+  CHECK(WaitFor([&] { return one.events.IncarnationOf("b") == 22; }));
 }
 
 }  // namespace
--- a/wire/cut_list.cc
+++ b/wire/cut_list.cc
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-bool CutList::Follow(SteadyTime now) {
+bool CutList::RefreshFromFile(SteadyTime now) {
   if (file_.empty() || now < next_read_) {
     return false;
   }
--- a/wire/cut_list.h
+++ b/wire/cut_list.h
@@ -9,17 +9,18 @@
 
 namespace damasktack::detail {
 
-// For tests of partitions only: the hosts to which no link may be. Only the
-// transport's thread uses it.
+// The hosts to which links are blocked, for partition tests only. Used on the
+// transport's thread only.
 class CutList {
  public:
-  // Empty where there is no file to follow.
+  // `file` is empty if the list is not read from a file.
   explicit CutList(std::string file) : file_(std::move(file)) {}
 
   bool Has(const std::string& host) const { return hosts_.count(host) > 0; }
   void Set(std::set<std::string> hosts) { hosts_ = std::move(hosts); }
-  // Reads the file where it is time to. Whether the list changed.
-  bool Follow(SteadyTime now);
+  // Reads the file again if the read interval has passed. Returns true if the
+  // list has changed.
+  bool RefreshFromFile(SteadyTime now);
 
  private:
   const std::string file_;
--- a/wire/dial_schedule.cc
+++ b/wire/dial_schedule.cc
@@ -34,7 +34,7 @@
   return Entry{address, false, due, milliseconds(0)};
 }
 
-bool DialSchedule::Wants(const PeerLink& link) const {
+bool DialSchedule::IsListed(const PeerLink& link) const {
   return std::any_of(entries_.begin(), entries_.end(), [&](const Entry& it) {
     return it.address == link.target || it.address.host == link.peer.host;
   });
@@ -50,7 +50,7 @@
   return due;
 }
 
-void DialSchedule::Began(const PeerAddress& address) {
+void DialSchedule::OnDialStarted(const PeerAddress& address) {
   for (Entry& it : entries_) {
     if (it.address == address) {
       it.dialing = true;
@@ -58,9 +58,9 @@
   }
 }
 
-// The next try waits for a doubled, jittered time, so that hosts that lost the
-// same peer do not come back to it in step.
-void DialSchedule::Ended(const PeerAddress& address, bool opened) {
+// The next attempt waits for a doubled time with jitter, so that hosts that
+// lost the same peer do not all reconnect to it at the same time.
+void DialSchedule::OnDialEnded(const PeerAddress& address, bool opened) {
   for (Entry& it : entries_) {
     if (!(it.address == address)) {
       continue;
--- a/wire/dial_schedule.h
+++ b/wire/dial_schedule.h
@@ -10,22 +10,23 @@
 
 namespace damasktack::detail {
 
-// When to dial each listed peer, with a backoff for each address. Only the
-// transport's thread uses it.
+// Decides when to dial each listed peer, with exponential backoff per address.
+// Used on the transport's thread only.
 class DialSchedule {
  public:
-  // `options` must outlive this.
+  // `options` must outlive this object.
   explicit DialSchedule(const WebsocketTransportOptions& options);
 
-  // Addresses that stay listed keep their backoff.
+  // Replaces the list of peers. Addresses that stay listed keep their backoff.
   void SetPeers(const std::vector<PeerAddress>& peers, SteadyTime now);
-  // Whether the list has the peer of this link.
-  bool Wants(const PeerLink& link) const;
-  // Those that may be dialed now and are not being dialed.
+  // Returns true if the link's peer is listed.
+  bool IsListed(const PeerLink& link) const;
+  // Returns the addresses that are due and not being dialed.
   std::vector<PeerAddress> Due(SteadyTime now) const;
-  void Began(const PeerAddress& address);
-  // The dial failed, or the link that it opened is up or has ended.
-  void Ended(const PeerAddress& address, bool opened);
+  void OnDialStarted(const PeerAddress& address);
+  // Called when a dial has failed, or when the link that it opened is up or has
+  // closed.
+  void OnDialEnded(const PeerAddress& address, bool opened);
 
  private:
   struct Entry {
--- a/wire/link_auth.cc
+++ b/wire/link_auth.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Names the protocol; the byte after it is the version of the greeting.
+// Identifies the protocol; the next byte is the version of the greeting.
 constexpr std::string_view kMagic = "damasktack";
 constexpr char kGreetingVersion = 1;
 constexpr unsigned kByteBits = 8;
@@ -43,7 +43,8 @@
   return std::string(digest.begin(), digest.begin() + n);
 }
 
-// Takes `n` bytes off the front of `bytes`, or fails and leaves it empty.
+// Moves the first `n` bytes of `bytes` to `out`. Returns false and changes
+// nothing if there are fewer.
 bool TakeFront(std::string_view& bytes, std::size_t n, std::string_view& out) {
   if (bytes.size() < n) {
     return false;
@@ -55,11 +56,11 @@
 
 }  // namespace
 
-std::string DrawNonce() {
+std::string GenerateNonce() {
   std::array<unsigned char, kNonceBytes> bytes{};
   if (RAND_bytes(bytes.data(), kNonceBytes) != 1) {
-    // A nonce that can be foreseen would let a replay through; a host whose
-    // system gives no random bytes is not fit to serve.
+    // A predictable nonce would allow replay attacks, so a host whose system
+    // provides no random bytes must not serve.
     std::abort();
   }
   return std::string(bytes.begin(), bytes.end());
@@ -89,7 +90,7 @@
     return std::nullopt;
   }
   const std::size_t n = static_cast<std::uint8_t>(size.front());
-  if (n == 0 || n > kLongestHostName || !TakeFront(bytes, n, host)) {
+  if (n == 0 || n > kMaxHostNameLength || !TakeFront(bytes, n, host)) {
     return std::nullopt;
   }
   return LinkGreeting{std::string(host), DecodeNumber(incarnation),
@@ -110,28 +111,28 @@
   return Hmac(link_key_, label);
 }
 
-bool SameSecret(std::string_view left, std::string_view right) {
+bool ConstantTimeEquals(std::string_view left, std::string_view right) {
   return left.size() == right.size() &&
          CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
 }
 
-std::string FrameSeal::TagFor(std::string_view payload) const {
+std::string FrameAuthenticator::TagFor(std::string_view payload) const {
   std::string text = EncodeNumber(next_);
   text += payload;
   return Hmac(key_, text).substr(0, kFrameTagBytes);
 }
 
-std::string FrameSeal::Seal(std::string_view payload) {
+std::string FrameAuthenticator::Seal(std::string_view payload) {
   std::string frame = TagFor(payload);
   frame += payload;
   ++next_;
   return frame;
 }
 
-std::optional<std::string> FrameSeal::Open(std::string_view frame) {
+std::optional<std::string> FrameAuthenticator::Open(std::string_view frame) {
   std::string_view tag;
   if (!TakeFront(frame, kFrameTagBytes, tag) ||
-      !SameSecret(tag, TagFor(frame))) {
+      !ConstantTimeEquals(tag, TagFor(frame))) {
     return std::nullopt;
   }
   ++next_;
--- a/wire/link_auth.h
+++ b/wire/link_auth.h
@@ -11,28 +11,29 @@
 
 inline constexpr std::size_t kNonceBytes = 16;
 inline constexpr std::size_t kFrameTagBytes = 16;
-inline constexpr std::size_t kLongestHostName = 128;
-// More than any greeting or proof; the bound on frames before a peer is known.
-inline constexpr std::size_t kLargestGreeting = 512;
+inline constexpr std::size_t kMaxHostNameLength = 128;
+// Maximum message size before a peer is authenticated; larger than any greeting
+// or proof.
+inline constexpr std::size_t kMaxGreetingBytes = 512;
 
-// What each side of a new link says first, in the clear. The nonce is drawn
-// for this link alone.
+// The first message of each side of a new link, sent unencrypted and
+// unauthenticated. The nonce is unique to the link.
 struct LinkGreeting {
   std::string host;
   std::uint64_t incarnation = 0;
   std::string nonce;
 };
 
-std::string DrawNonce();
+std::string GenerateNonce();
 std::string EncodeGreeting(const LinkGreeting& greeting);
-// Null for bytes that are no greeting. Bytes that a newer version adds at the
-// end are ignored here and still covered by the proofs.
+// Returns null if the bytes are not a greeting. Trailing bytes from newer
+// versions are ignored here, but the proofs cover them.
 std::optional<LinkGreeting> DecodeGreeting(std::string_view bytes);
 
 // The secrets of one link, derived by HMAC-SHA256 from the fleet's key and the
-// bytes of both greetings. Both nonces are in them, so that bytes recorded on
-// another link prove nothing here; both roles have labels of their own, so
-// that a side's own proof cannot be reflected to it.
+// bytes of both greetings. The greetings contain both nonces, so that messages
+// recorded on another link are not valid here (replay). Each role has its own
+// labels, so that a side's proof cannot be sent back to it (reflection).
 class LinkSecrets {
  public:
   LinkSecrets(std::string_view fleet_key,
@@ -50,18 +51,20 @@
   std::string link_key_;
 };
 
-// Compares without telling by its time how much was right.
-bool SameSecret(std::string_view left, std::string_view right);
+// Compares in constant time, so that timing does not reveal how many bytes
+// match.
+bool ConstantTimeEquals(std::string_view left, std::string_view right);
 
-// Guards the frames of one direction of a link: tag, then payload. The tag
-// covers a counter that both sides keep, so that a frame that is repeated,
-// left out or moved does not open.
-class FrameSeal {
+// Authenticates the frames of one direction of a link. A frame is a tag
+// followed by the payload. The tag covers a sequence number that both sides
+// count, so that repeated, dropped or reordered frames are rejected.
+class FrameAuthenticator {
  public:
-  explicit FrameSeal(std::string key) : key_(std::move(key)) {}
+  explicit FrameAuthenticator(std::string key) : key_(std::move(key)) {}
 
   std::string Seal(std::string_view payload);
-  // Null where the tag is not the one of the next frame.
+  // Returns the payload, or null if the tag does not match the next sequence
+  // number.
   std::optional<std::string> Open(std::string_view frame);
 
  private:
--- a/wire/link_hub.cc
+++ b/wire/link_hub.cc
@@ -12,9 +12,9 @@
       events_(events),
       timer_(context_),
       endpoints_(context_, options_, *this),
-      unproved_(options_.unproved_connections, options_.proof_timeout),
+      unauthenticated_(options_.unproved_connections, options_.proof_timeout),
       dials_(options_),
-      cut_(options_.cut_file) {}
+      blocked_hosts_(options_.cut_file) {}
 
 std::error_code LinkHub::Start() {
   const std::error_code problem = endpoints_.Listen();
@@ -41,9 +41,9 @@
   for (const PeerLinkPtr& it : Connections()) {
     Close(it);
   }
-  // Gives frames that were handed over the time to leave: closing a
-  // websocket sends what is queued before it.
-  timer_.expires_after(kHousekeeping);
+  // Leaves time for queued frames to be sent: closing a websocket first sends
+  // what is queued.
+  timer_.expires_after(kHousekeepingInterval);
   timer_.async_wait([this](boost::system::error_code) { context_.stop(); });
 }
 
@@ -58,7 +58,7 @@
   const PeerLinkPtr link = links_.Find(host);
   if (!link || frame.size() > options_.largest_frame ||
       link->backlog + frame.size() > options_.link_queue_bytes) {
-    ++tally_.frames_dropped;
+    ++counters_.frames_dropped;
     return false;
   }
   link->backlog += frame.size();
@@ -70,35 +70,36 @@
 
 void LinkHub::CutLinksTo(std::vector<std::string> hosts) {
   asio::post(context_, [this, hosts = std::move(hosts)] {
-    cut_.Set(std::set<std::string>(hosts.begin(), hosts.end()));
-    CloseCut();
+    blocked_hosts_.Set(std::set<std::string>(hosts.begin(), hosts.end()));
+    CloseBlocked();
   });
 }
 
-// A stranger may open connections and say nothing. Beyond the bound the newest
-// is closed before it costs more than its accept; the ones before it end by
-// the timeout, so that a daemon of the fleet gets in when it tries again.
+// An outsider may open connections and send nothing. Connections over the limit
+// are closed right after accept. Earlier ones end by the proof timeout, so that
+// a daemon of the fleet can connect when it retries.
 void LinkHub::OnAccepted(const Handle& handle) {
-  if (!unproved_.Add(handle, SteadyClock::now())) {
-    ++tally_.refused_full;
+  if (!unauthenticated_.Add(handle, SteadyClock::now())) {
+    ++counters_.refused_full;
     endpoints_.Refuse(handle);
   }
 }
 
 void LinkHub::OnAcceptFailed(const Handle& handle, bool late) {
-  if (unproved_.Remove(handle)) {
-    ++(late ? tally_.refused_late : tally_.malformed);
+  if (unauthenticated_.Remove(handle)) {
+    ++(late ? counters_.refused_late : counters_.malformed);
   }
 }
 
 void LinkHub::OnDialFailed(const Handle& handle) {
-  ++tally_.dials_failed;
+  ++counters_.dials_failed;
   OnClosed(handle);
 }
 
 void LinkHub::OnOpen(const Handle& handle, bool dialed) {
   const auto it = connections_.find(handle);
-  // Those that were dialed are known since Dial, unless closed meanwhile.
+  // Dialed connections are registered by Dial; if one is missing here, it has
+  // been closed meanwhile.
   if (it == connections_.end() && dialed) {
     endpoints_.CloseDialed(handle);
     return;
@@ -111,7 +112,7 @@
     connections_[handle] = link;
   }
   const std::string& greeting =
-      link->DrawGreeting(options_.host, options_.incarnation);
+      link->MakeGreeting(options_.host, options_.incarnation);
   endpoints_.SetNoDelay(*link);
   if (dialed) {
     endpoints_.Send(*link, greeting);
@@ -119,16 +120,16 @@
 }
 
 void LinkHub::OnClosed(const Handle& handle) {
-  unproved_.Remove(handle);
+  unauthenticated_.Remove(handle);
   const auto it = connections_.find(handle);
   if (it == connections_.end()) {
     return;
   }
   const PeerLinkPtr link = it->second;
-  if (endpoints_.EndedByFault(*link)) {
-    ++tally_.malformed;
+  if (endpoints_.ClosedForProtocolError(*link)) {
+    ++counters_.malformed;
   }
-  Forget(link);
+  RemoveLink(link);
 }
 
 void LinkHub::OnMessage(const Handle& handle,
@@ -140,11 +141,11 @@
   }
   const PeerLinkPtr link = it->second;
   if (!binary) {
-    ++tally_.malformed;
+    ++counters_.malformed;
     Close(link);
     return;
   }
-  link->last_heard = SteadyClock::now();
+  link->last_received = SteadyClock::now();
   switch (link->phase) {
     case LinkPhase::kGreeting:
       return HandleGreeting(link, bytes);
@@ -158,30 +159,30 @@
 void LinkHub::HandleGreeting(const PeerLinkPtr& link, std::string_view bytes) {
   const std::optional<LinkGreeting> greeting = DecodeGreeting(bytes);
   if (!greeting) {
-    ++tally_.malformed;
+    ++counters_.malformed;
     Close(link);
     return;
   }
-  if (!Welcomes(*link, *greeting)) {
+  if (!AcceptsGreeting(*link, *greeting)) {
     Close(link);
     return;
   }
   endpoints_.Send(*link,
-                  link->TakeGreeting(*greeting, bytes, options_.fleet_key));
+                  link->ProcessGreeting(*greeting, bytes, options_.fleet_key));
 }
 
-bool LinkHub::Welcomes(const PeerLink& link,
-                       const LinkGreeting& greeting) const {
-  // A dialer with a link to the same process, perhaps by another address,
-  // leaves it at that.
-  const bool doubled = link.dialed && links_.Has(greeting.host);
-  return greeting.host != options_.host && link.Expects(greeting) && !doubled &&
-         !cut_.Has(greeting.host);
+bool LinkHub::AcceptsGreeting(const PeerLink& link,
+                              const LinkGreeting& greeting) const {
+  // A dialer that already has a link to this host, possibly through another
+  // address, closes the new connection.
+  const bool is_duplicate = link.dialed && links_.Has(greeting.host);
+  return greeting.host != options_.host && link.MatchesTarget(greeting) &&
+         !is_duplicate && !blocked_hosts_.Has(greeting.host);
 }
 
 void LinkHub::HandleProof(const PeerLinkPtr& link, std::string_view bytes) {
   if (!link->IsProof(bytes)) {
-    ++tally_.refused_proof;
+    ++counters_.refused_proof;
     Close(link);
     return;
   }
@@ -194,19 +195,21 @@
 void LinkHub::HandleFrame(const PeerLinkPtr& link, std::string_view bytes) {
   std::optional<std::string> payload = link->Unseal(bytes);
   if (!payload) {
-    ++tally_.refused_frames;
+    ++counters_.refused_frames;
     Close(link);
     return;
   }
-  ++tally_.frames_received;
-  tally_.bytes_received += bytes.size();
+  ++counters_.frames_received;
+  counters_.bytes_received += bytes.size();
   events_.OnFrame(link->peer.host, link->peer.incarnation, std::move(*payload));
 }
 
-// Both sides may dial at the same moment. Each keeps the link that the lower
-// id dialed, so that they do not close one link each. Otherwise the newer one
-// is kept: the older belongs to a process that is gone, or is half open.
-bool LinkHub::PrefersNew(const PeerLink& old, const PeerLink& candidate) const {
+// Both sides may dial at the same time. Each keeps the link that the host with
+// the lower id dialed, so that they do not each close a different link.
+// Otherwise the newer link is kept, because the older one belongs to a process
+// that is gone or is half open.
+bool LinkHub::PrefersCandidate(const PeerLink& old,
+                               const PeerLink& candidate) const {
   if (old.peer.incarnation != candidate.peer.incarnation ||
       old.dialed == candidate.dialed) {
     return true;
@@ -217,7 +220,7 @@
 
 void LinkHub::OpenLink(const PeerLinkPtr& link) {
   const PeerLinkPtr old = links_.Find(link->peer.host);
-  if (old && !PrefersNew(*old, *link)) {
+  if (old && !PrefersCandidate(*old, *link)) {
     Close(link);
     return;
   }
@@ -225,42 +228,42 @@
     Close(old);
   }
   link->Open();
-  unproved_.Remove(link->handle);
+  unauthenticated_.Remove(link->handle);
   endpoints_.SetLargestMessage(*link, options_.largest_frame + kFrameTagBytes);
   links_.Put(link);
   if (link->dialed) {
-    dials_.Ended(link->target, true);
+    dials_.OnDialEnded(link->target, true);
   }
-  ++tally_.links_opened;
+  ++counters_.links_opened;
   events_.OnLinkUp(link->peer.host, link->peer.incarnation);
 }
 
 void LinkHub::SendSealed(const PeerLinkPtr& link, const std::string& payload) {
   if (connections_.count(link->handle) == 0) {
-    ++tally_.frames_dropped;
+    ++counters_.frames_dropped;
     return;
   }
   const std::string frame = link->Seal(payload);
   endpoints_.Send(*link, frame);
-  ++tally_.frames_sent;
-  tally_.bytes_sent += frame.size();
+  ++counters_.frames_sent;
+  counters_.bytes_sent += frame.size();
 }
 
 void LinkHub::Close(const PeerLinkPtr& link) {
-  Forget(link);
+  RemoveLink(link);
   endpoints_.Close(*link);
 }
 
-void LinkHub::Forget(const PeerLinkPtr& link) {
-  unproved_.Remove(link->handle);
+void LinkHub::RemoveLink(const PeerLinkPtr& link) {
+  unauthenticated_.Remove(link->handle);
   if (connections_.erase(link->handle) == 0) {
     return;
   }
   if (link->dialed) {
-    dials_.Ended(link->target, link->phase == LinkPhase::kOpen);
+    dials_.OnDialEnded(link->target, link->phase == LinkPhase::kOpen);
   }
   if (links_.Remove(link)) {
-    ++tally_.links_closed;
+    ++counters_.links_closed;
     events_.OnLinkDown(link->peer.host, link->peer.incarnation);
   }
 }
--- a/wire/link_hub.h
+++ b/wire/link_hub.h
@@ -22,15 +22,15 @@
 
 namespace damasktack::detail {
 
-// How often a hub dials, checks timeouts and reads queue lengths.
-inline constexpr std::chrono::milliseconds kHousekeeping{50};
+// Interval for dialing, checking timeouts and updating queue lengths.
+inline constexpr std::chrono::milliseconds kHousekeepingInterval{50};
 
-// Takes each connection from its first byte to its last: handshake, link,
-// frames, end. Its thread does all of it and calls the owner's events; the
-// public calls are safe from any thread.
+// Manages all connections to peers: handshakes, links, frames and closing. All
+// work and all calls to the owner's event handlers happen on its own thread;
+// the public functions are thread-safe.
 class LinkHub : private WebsocketEvents {
  public:
-  // `events` must outlive this.
+  // `events` must outlive this object.
   LinkHub(WebsocketTransportOptions options, PeerTransportEvents& events);
 
   std::error_code Start();
@@ -39,7 +39,7 @@
   bool Send(const std::string& host, std::string frame);
   void CutLinksTo(std::vector<std::string> hosts);
   std::uint16_t port() const { return endpoints_.port(); }
-  TransportCounters counters() const { return tally_.Read(); }
+  TransportCounters counters() const { return counters_.Read(); }
 
  private:
   void OnAccepted(const Handle& handle) override;
@@ -52,19 +52,20 @@
   void OnClosed(const Handle& handle) override;
 
   void HandleGreeting(const PeerLinkPtr& link, std::string_view bytes);
-  bool Welcomes(const PeerLink& link, const LinkGreeting& greeting) const;
+  bool AcceptsGreeting(const PeerLink& link,
+                       const LinkGreeting& greeting) const;
   void HandleProof(const PeerLinkPtr& link, std::string_view bytes);
   void HandleFrame(const PeerLinkPtr& link, std::string_view bytes);
-  bool PrefersNew(const PeerLink& old, const PeerLink& candidate) const;
+  bool PrefersCandidate(const PeerLink& old, const PeerLink& candidate) const;
   void OpenLink(const PeerLinkPtr& link);
   void SendSealed(const PeerLinkPtr& link, const std::string& payload);
   void Close(const PeerLinkPtr& link);
-  // Takes it out of the links and tells the owner, where it was one.
-  void Forget(const PeerLinkPtr& link);
+  // Removes the connection and, if it was an open link, notifies the owner.
+  void RemoveLink(const PeerLinkPtr& link);
 
   void ShutDown();
   void Tick();
-  void CloseCut();
+  void CloseBlocked();
   void CloseUnlisted();
   void CloseOverdue(SteadyTime now);
   void DialDue(SteadyTime now);
@@ -78,14 +79,14 @@
   boost::asio::steady_timer timer_;
   WebsocketEndpoints endpoints_;
   std::thread thread_;
-  TransportTally tally_;
+  TransportTally counters_;
   LinkTable links_;
 
-  // Only the thread of the transport uses these.
+  // Used on the transport's thread only.
   HandleMap<PeerLinkPtr> connections_;
-  UnprovedConnections unproved_;
+  UnprovedConnections unauthenticated_;
   DialSchedule dials_;
-  CutList cut_;
+  CutList blocked_hosts_;
   bool stopping_ = false;
 };
 
--- a/wire/link_hub_housekeeping.cc
+++ b/wire/link_hub_housekeeping.cc
@@ -1,4 +1,4 @@
-// What LinkHub does by the clock: dials, timeouts, cuts and queue lengths.
+// Periodic work of LinkHub: dialing, timeouts, blocked hosts and queue lengths.
 #include "wire/link_hub.h"
 
 namespace damasktack::detail {
@@ -8,13 +8,13 @@
     return;
   }
   const SteadyTime now = SteadyClock::now();
-  if (cut_.Follow(now)) {
-    CloseCut();
+  if (blocked_hosts_.RefreshFromFile(now)) {
+    CloseBlocked();
   }
   DialDue(now);
   CloseOverdue(now);
   RefreshBacklogs();
-  timer_.expires_after(kHousekeeping);
+  timer_.expires_after(kHousekeepingInterval);
   timer_.async_wait([this](boost::system::error_code ec) {
     if (!ec) {
       Tick();
@@ -22,9 +22,9 @@
   });
 }
 
-void LinkHub::CloseCut() {
+void LinkHub::CloseBlocked() {
   for (const PeerLinkPtr& it : Connections()) {
-    if (cut_.Has(it->peer.host)) {
+    if (blocked_hosts_.Has(it->peer.host)) {
       Close(it);
     }
   }
@@ -32,7 +32,7 @@
 
 void LinkHub::CloseUnlisted() {
   for (const PeerLinkPtr& it : Connections()) {
-    if (it->dialed && !dials_.Wants(*it)) {
+    if (it->dialed && !dials_.IsListed(*it)) {
       Close(it);
     }
   }
@@ -42,32 +42,33 @@
   for (const PeerLinkPtr& it : Connections()) {
     const bool open = it->phase == LinkPhase::kOpen;
     const bool late = !open && now - it->since > options_.proof_timeout;
-    const bool silent = open && now - it->last_heard > options_.silence_timeout;
+    const bool silent =
+        open && now - it->last_received > options_.silence_timeout;
     if (late) {
-      ++tally_.refused_late;
+      ++counters_.refused_late;
     }
     if (late || silent) {
       Close(it);
     }
   }
-  unproved_.Expire(now);
+  unauthenticated_.Expire(now);
 }
 
 void LinkHub::DialDue(SteadyTime now) {
   for (const PeerAddress& it : dials_.Due(now)) {
     const bool linked =
         it.host.empty() ? links_.HasDialed(it) : links_.Has(it.host);
-    if (!linked && !cut_.Has(it.host)) {
+    if (!linked && !blocked_hosts_.Has(it.host)) {
       Dial(it, now);
     }
   }
 }
 
 void LinkHub::Dial(const PeerAddress& address, SteadyTime now) {
-  dials_.Began(address);
+  dials_.OnDialStarted(address);
   const std::optional<Handle> handle = endpoints_.PrepareDial(address);
   if (!handle) {
-    dials_.Ended(address, false);
+    dials_.OnDialEnded(address, false);
     return;
   }
   const auto link = std::make_shared<PeerLink>();
--- a/wire/link_table.h
+++ b/wire/link_table.h
@@ -10,18 +10,19 @@
 
 namespace damasktack::detail {
 
-// The open link to each host id, at most one. The transport's thread changes
-// it; any thread looks a link up.
+// Table of open links, at most one per host id. Modified on the transport's
+// thread only; lookups are thread-safe.
 class LinkTable {
  public:
-  // Null where there is none.
+  // Returns null if there is no link.
   PeerLinkPtr Find(const std::string& host) const;
   bool Has(const std::string& host) const { return Find(host) != nullptr; }
-  // Whether a link that was dialed to this address is open.
+  // Returns true if a link that was dialed to this address is open.
   bool HasDialed(const PeerAddress& address) const;
   std::vector<PeerLinkPtr> All() const;
   void Put(const PeerLinkPtr& link);
-  // Whether this very link was in the table.
+  // Removes the link. Returns true if this link, and not another one to the
+  // same host, was in the table.
   bool Remove(const PeerLinkPtr& link);
 
  private:
--- a/wire/peer_link.cc
+++ b/wire/peer_link.cc
@@ -2,19 +2,20 @@
 
 namespace damasktack::detail {
 
-const std::string& PeerLink::DrawGreeting(const std::string& host,
+const std::string& PeerLink::MakeGreeting(const std::string& host,
                                           std::uint64_t incarnation) {
-  own_greeting_ = EncodeGreeting(LinkGreeting{host, incarnation, DrawNonce()});
+  own_greeting_ =
+      EncodeGreeting(LinkGreeting{host, incarnation, GenerateNonce()});
   return own_greeting_;
 }
 
-bool PeerLink::Expects(const LinkGreeting& greeting) const {
+bool PeerLink::MatchesTarget(const LinkGreeting& greeting) const {
   return target.host.empty() || target.host == greeting.host;
 }
 
-std::string PeerLink::TakeGreeting(const LinkGreeting& greeting,
-                                   std::string_view bytes,
-                                   const std::string& fleet_key) {
+std::string PeerLink::ProcessGreeting(const LinkGreeting& greeting,
+                                      std::string_view bytes,
+                                      const std::string& fleet_key) {
   peer = greeting;
   phase = LinkPhase::kProof;
   if (dialed) {
@@ -26,7 +27,7 @@
 }
 
 bool PeerLink::IsProof(std::string_view bytes) const {
-  return SameSecret(
+  return ConstantTimeEquals(
       bytes, dialed ? secrets_->AcceptorProof() : secrets_->DialerProof());
 }
 
--- a/wire/peer_link.h
+++ b/wire/peer_link.h
@@ -22,37 +22,37 @@
 
 enum class LinkPhase { kGreeting, kProof, kOpen };
 
-// One websocket, from the first byte to the last: who is at the other side and
-// how far the two have proved themselves. It sends nothing itself. All but
-// `backlog` belongs to the transport's thread; what names the peer is set
-// before other threads can find the link.
+// State of one websocket: the peer's identity and the progress of mutual
+// authentication. It sends nothing itself. Only `backlog` may be used on other
+// threads than the transport's; the peer's identity is set before other threads
+// can find the link.
 struct PeerLink {
   Handle handle;
   bool dialed = false;
-  // Where it was dialed to; unused on the accepting side.
+  // The address that was dialed; unused on the accepting side.
   PeerAddress target;
   LinkPhase phase = LinkPhase::kGreeting;
   SteadyTime since;
-  SteadyTime last_heard;
+  SteadyTime last_received;
   LinkGreeting peer;
-  // Bytes taken by Send and not yet on the socket, as far as is known.
+  // Estimate of the bytes accepted by Send and not yet written to the socket.
   std::atomic<std::size_t> backlog = 0;
 
-  // Draws this side's greeting and gives its bytes.
-  const std::string& DrawGreeting(const std::string& host,
+  // Creates this side's greeting and returns its bytes.
+  const std::string& MakeGreeting(const std::string& host,
                                   std::uint64_t incarnation);
-  // Whether the peer that greets is the one that was dialed.
-  bool Expects(const LinkGreeting& greeting) const;
-  // Takes the peer's greeting and gives what to send in reply: the dialer its
-  // proof, the accepting side its greeting.
-  std::string TakeGreeting(const LinkGreeting& greeting,
-                           std::string_view bytes,
-                           const std::string& fleet_key);
-  // Whether these bytes prove that the peer holds the fleet's key.
+  // Returns true if the greeting comes from the host that was dialed.
+  bool MatchesTarget(const LinkGreeting& greeting) const;
+  // Processes the peer's greeting and returns the reply: the dialer's proof or
+  // the accepting side's greeting.
+  std::string ProcessGreeting(const LinkGreeting& greeting,
+                              std::string_view bytes,
+                              const std::string& fleet_key);
+  // Returns true if the bytes prove that the peer has the fleet's key.
   bool IsProof(std::string_view bytes) const;
-  // The proof of the accepting side.
+  // Returns the proof of the accepting side.
   std::string AcceptorProof() const { return secrets_->AcceptorProof(); }
-  // From here on frames are sealed.
+  // Switches to authenticated frames.
   void Open();
   std::string Seal(std::string_view payload) { return sealer_->Seal(payload); }
   std::optional<std::string> Unseal(std::string_view frame) {
@@ -62,8 +62,8 @@
  private:
   std::string own_greeting_;
   std::optional<LinkSecrets> secrets_;
-  std::optional<FrameSeal> sealer_;
-  std::optional<FrameSeal> opener_;
+  std::optional<FrameAuthenticator> sealer_;
+  std::optional<FrameAuthenticator> opener_;
 };
 
 using PeerLinkPtr = std::shared_ptr<PeerLink>;
--- a/wire/peer_transport.h
+++ b/wire/peer_transport.h
@@ -7,9 +7,10 @@
 
 namespace damasktack {
 
-// Where a daemon of the fleet listens for its peers.
+// Address on which a daemon of the fleet listens for its peers.
 struct PeerAddress {
-  // Empty for a seed: whoever proves to belong to the fleet there.
+  // Empty for a seed address, where any authenticated host of the fleet is
+  // accepted.
   std::string host;
   std::string ip;
   std::uint16_t port = 0;
@@ -19,12 +20,13 @@
   }
 };
 
-// What a transport tells its owner; on the transport's own thread.
+// Event handlers of a transport's owner; called on the transport's thread.
 class PeerTransportEvents {
  public:
   virtual ~PeerTransportEvents() = default;
 
-  // `incarnation` names the peer's process, as proved when the link opened.
+  // `incarnation` identifies the peer's process and was authenticated when the
+  // link opened.
   virtual void OnLinkUp(const std::string& host, std::uint64_t incarnation) = 0;
   virtual void OnLinkDown(const std::string& host,
                           std::uint64_t incarnation) = 0;
@@ -34,16 +36,17 @@
 };
 
 // Carries opaque frames between the daemons of one fleet. Frames to one peer
-// keep their order while a link lasts; any may be lost. This header must stay
-// free of websocketpp and of C++20.
+// arrive in order while a link lasts; any of them may be lost. This header must
+// not depend on websocketpp or on C++20.
 class PeerTransport {
  public:
   virtual ~PeerTransport() = default;
 
-  // Opens links to these peers from now on and closes links that it opened to
-  // others. Links that others opened stay: their list may be ahead of this.
+  // Replaces the list of peers to dial and closes links that this side dialed
+  // to others. Links that other hosts dialed stay open, because their lists may
+  // be newer than this one.
   virtual void SetPeers(std::vector<PeerAddress> peers) = 0;
-  // False where there is no link or its queue is full; the frame is dropped.
+  // Returns false and drops the frame if there is no link or its queue is full.
   virtual bool Send(const std::string& host, std::string frame) = 0;
 };
 
--- a/wire/transport_tally.h
+++ b/wire/transport_tally.h
@@ -8,8 +8,8 @@
 
 namespace damasktack::detail {
 
-// TransportCounters while they are counted: added to on the transport's thread
-// and by senders, read from any thread.
+// Atomic counterpart of TransportCounters: incremented on the transport's
+// thread and by senders, read on any thread.
 struct TransportTally {
   std::atomic<std::uint64_t> links_opened = 0;
   std::atomic<std::uint64_t> links_closed = 0;
@@ -25,7 +25,7 @@
   std::atomic<std::uint64_t> bytes_received = 0;
   std::atomic<std::uint64_t> frames_dropped = 0;
 
-  // Each figure is whole; they are not all of the same instant.
+  // Reads each counter atomically; together they are not a consistent snapshot.
   TransportCounters Read() const;
 };
 
--- a/wire/unproved_connections.cc
+++ b/wire/unproved_connections.cc
@@ -5,7 +5,7 @@
 namespace damasktack::detail {
 
 bool UnprovedConnections::Add(const Handle& handle, SteadyTime now) {
-  if (since_.size() >= most_) {
+  if (since_.size() >= max_connections_) {
     return false;
   }
   since_[handle] = now;
--- a/wire/unproved_connections.h
+++ b/wire/unproved_connections.h
@@ -8,22 +8,24 @@
 
 namespace damasktack::detail {
 
-// Accepted connections that have not proved to belong to the fleet, bounded in
-// number and age. Only the transport's thread uses it.
+// Accepted connections whose peers are not authenticated yet, bounded in number
+// and age. Used on the transport's thread only.
 class UnprovedConnections {
  public:
-  UnprovedConnections(std::size_t most, std::chrono::milliseconds proof_timeout)
-      : most_(most), proof_timeout_(proof_timeout) {}
+  UnprovedConnections(std::size_t max_connections,
+                      std::chrono::milliseconds proof_timeout)
+      : max_connections_(max_connections), proof_timeout_(proof_timeout) {}
 
-  // False where the bound is reached.
+  // Returns false if the maximum number is reached.
   bool Add(const Handle& handle, SteadyTime now);
-  // Whether it was among them.
+  // Returns true if the connection was in the set.
   bool Remove(const Handle& handle) { return since_.erase(handle) > 0; }
-  // Drops those that are gone without a word from the websocket library.
+  // Removes connections that ended without a notification from the websocket
+  // library.
   void Expire(SteadyTime now);
 
  private:
-  const std::size_t most_;
+  const std::size_t max_connections_;
   const std::chrono::milliseconds proof_timeout_;
   HandleMap<SteadyTime> since_;
 };
--- a/wire/websocket_endpoints.cc
+++ b/wire/websocket_endpoints.cc
@@ -35,8 +35,8 @@
   endpoint.init_asio(&context_);
   endpoint.set_open_handshake_timeout(options_.proof_timeout.count());
   endpoint.set_close_handshake_timeout(options_.proof_timeout.count());
-  // Raised for a connection once its peer is known.
-  endpoint.set_max_message_size(kLargestGreeting);
+  // Raised for each connection once its peer is authenticated.
+  endpoint.set_max_message_size(kMaxGreetingBytes);
   endpoint.set_max_http_body_size(0);
   SetHandlers(endpoint, dialed);
 }
@@ -98,7 +98,7 @@
     return std::nullopt;
   }
   raw->set_fail_handler([this](const Handle& it) { events_.OnDialFailed(it); });
-  // The library owns a connection only from Connect on.
+  // The library does not own the connection before Connect.
   prepared_ = raw;
   return raw->get_handle();
 }
@@ -161,7 +161,7 @@
 void WebsocketEndpoints::Close(const PeerLink& link) {
   WithConnection(link, [](auto& raw) {
     if (raw.get_state() == websocketpp::session::state::connecting) {
-      // There is no websocket yet on which to say goodbye.
+      // The websocket handshake is not complete, so no close frame can be sent.
       raw.terminate(websocketpp::error::make_error_code(
           websocketpp::error::open_handshake_timeout));
       return;
@@ -177,7 +177,7 @@
   return n;
 }
 
-bool WebsocketEndpoints::EndedByFault(const PeerLink& link) {
+bool WebsocketEndpoints::ClosedForProtocolError(const PeerLink& link) {
   status::value code = status::normal;
   WithConnection(link, [&](auto& raw) { code = raw.get_local_close_code(); });
   return code == status::protocol_error || code == status::message_too_big ||
--- a/wire/websocket_endpoints.h
+++ b/wire/websocket_endpoints.h
@@ -17,14 +17,15 @@
 
 namespace damasktack::detail {
 
-// What happens to websockets; on the thread that runs the context.
+// Event handlers for websockets; called on the thread that runs the context.
 class WebsocketEvents {
  public:
   virtual ~WebsocketEvents() = default;
 
-  // A TCP connection came in; nothing was read from it.
+  // A TCP connection was accepted; nothing has been read from it yet.
   virtual void OnAccepted(const Handle& handle) = 0;
-  // It ended before it was a websocket.
+  // An accepted connection ended before its websocket handshake was complete;
+  // `late` if the handshake timed out.
   virtual void OnAcceptFailed(const Handle& handle, bool late) = 0;
   virtual void OnDialFailed(const Handle& handle) = 0;
   virtual void OnOpen(const Handle& handle, bool dialed) = 0;
@@ -34,40 +35,42 @@
   virtual void OnClosed(const Handle& handle) = 0;
 };
 
-// The websocket library's two ends, the listening and the dialing one, behind
-// one set of calls. Everything runs on the context's thread; what cannot be
-// done because the connection is gone does nothing.
+// Wraps the websocket library's server and client behind one interface. Must be
+// used on the context's thread; operations on a connection that no longer
+// exists have no effect.
 class WebsocketEndpoints {
  public:
-  // All three must outlive this.
+  // All three arguments must outlive this object.
   WebsocketEndpoints(boost::asio::io_context& context,
                      const WebsocketTransportOptions& options,
                      WebsocketEvents& events);
 
-  // Listens and begins to accept.
+  // Starts to listen and to accept connections.
   std::error_code Listen();
   void StopListening();
-  // The port in use, once it listens.
+  // Returns the listening port; valid after Listen.
   std::uint16_t port() const { return port_; }
 
-  // Null for an address that cannot be dialed. Nothing is sent before Connect.
+  // Creates a connection, or returns null if the address cannot be dialed.
+  // Nothing is sent before Connect.
   std::optional<Handle> PrepareDial(const PeerAddress& address);
   void Connect(const Handle& handle);
 
-  // Ends a connection that was accepted and is no websocket yet.
+  // Closes an accepted connection before its websocket handshake.
   void Refuse(const Handle& accepted);
-  // Ends a dialed connection that nobody knows any more.
+  // Closes a dialed connection that is no longer registered.
   void CloseDialed(const Handle& handle);
 
-  // Sends small frames at once.
+  // Disables Nagle's algorithm, so that small frames are sent at once.
   void SetNoDelay(const PeerLink& link);
   void SetLargestMessage(const PeerLink& link, std::size_t bytes);
   void Send(const PeerLink& link, const std::string& bytes);
   void Close(const PeerLink& link);
-  // Bytes handed over and not yet on the socket.
+  // Returns the number of bytes queued and not yet written to the socket.
   std::size_t BufferedBytes(const PeerLink& link);
-  // Whether the library closed it for what came on it.
-  bool EndedByFault(const PeerLink& link);
+  // Returns true if the library closed the connection because the peer violated
+  // the protocol.
+  bool ClosedForProtocolError(const PeerLink& link);
 
  private:
   using Server = websocketpp::server<websocketpp::config::asio>;
@@ -78,7 +81,8 @@
   template <typename Endpoint>
   void SetHandlers(Endpoint& endpoint, bool dialed);
   void AcceptFailed(const Handle& handle);
-  // Runs `body` with the library's connection, of either type, if it is there.
+  // Calls `body` with the library's server or client connection, if it still
+  // exists.
   template <typename Body>
   void WithConnection(const PeerLink& link, Body body);
 
