--- a/proxy/endpoint_exchange.h
+++ b/proxy/endpoint_exchange.h
@@ -15,12 +15,14 @@
 
 namespace damasktack {
 
+// Limits of one exchange with an endpoint.
 struct ExchangeLimits {
   std::uint64_t answer_bytes = 8U << 20U;
   std::uint32_t answer_header_bytes = 16U << 10U;
   Duration connect_timeout = std::chrono::milliseconds(250);
 };
 
+// Result of one exchange with an endpoint.
 struct ExchangeResult {
   SendResult result = SendResult::kNotConnected;
   // Whether any byte of the request was handed to the kernel. If not, the
--- a/proxy/failure.h
+++ b/proxy/failure.h
@@ -52,6 +52,7 @@
 // Returns the name used in answers and metrics.
 std::string_view ToString(FailureKind kind);
 
+// A failure as it is reported to a caller.
 struct Failure {
   FailureKind kind = FailureKind::kBadRequest;
   // Details of the fault that help the caller; may be empty.
--- a/proxy/proxy_state.h
+++ b/proxy/proxy_state.h
@@ -25,6 +25,7 @@
 
 namespace damasktack {
 
+// Settings of the proxy.
 struct ProxyOptions {
   // The deployment's header names and protocol variants; not a setting of its
   // own.
--- a/proxy/request_check.cc
+++ b/proxy/request_check.cc
@@ -152,7 +152,7 @@
 
 struct HeaderName {
   std::string_view name;
-  HeaderId known;
+  HeaderId id;
 };
 
 constexpr std::array<HeaderName, 9> kCheckedHeaders = {{
@@ -172,7 +172,7 @@
       std::ranges::find_if(kCheckedHeaders, [&](const HeaderName& candidate) {
         return EqualsIgnoringCase(candidate.name, name);
       });
-  return it == kCheckedHeaders.end() ? HeaderId::kOther : it->known;
+  return it == kCheckedHeaders.end() ? HeaderId::kOther : it->id;
 }
 
 // Checks one complete request head line by line.
@@ -183,12 +183,9 @@
  private:
   std::optional<Failure> CheckFirstLine(std::string_view line);
   std::optional<Failure> CheckHeaderLine(std::string_view line);
-  std::optional<Failure> CheckValue(HeaderId known,
-                                    std::string_view value) const;
+  std::optional<Failure> CheckValue(HeaderId id, std::string_view value) const;
   std::optional<Failure> CheckWhole() const;
-  bool Has(HeaderId known) const {
-    return seen_[static_cast<std::size_t>(known)];
-  }
+  bool Has(HeaderId id) const { return seen_[static_cast<std::size_t>(id)]; }
 
   bool is_1_0_ = false;
   std::size_t lines_ = 0;
@@ -219,9 +216,9 @@
   return std::nullopt;
 }
 
-std::optional<Failure> HeadChecker::CheckValue(HeaderId known,
+std::optional<Failure> HeadChecker::CheckValue(HeaderId id,
                                                std::string_view value) const {
-  switch (known) {
+  switch (id) {
     case HeaderId::kContentLength:
     case HeaderId::kDeadline:
     case HeaderId::kDepth:
@@ -272,17 +269,17 @@
   if (std::ranges::any_of(value, IsControl)) {
     return MakeBadRequest("a header value with control characters");
   }
-  const HeaderId known = ClassifyHeader(line.substr(0, colon));
-  if (known == HeaderId::kOther) {
+  const HeaderId id = ClassifyHeader(line.substr(0, colon));
+  if (id == HeaderId::kOther) {
     return std::nullopt;
   }
-  bool& seen = seen_[static_cast<std::size_t>(known)];
+  bool& seen = seen_[static_cast<std::size_t>(id)];
   if (seen) {
     return MakeBadRequest("the header " + std::string(line.substr(0, colon)) +
                           " twice");
   }
   seen = true;
-  return CheckValue(known, value);
+  return CheckValue(id, value);
 }
 
 std::optional<Failure> HeadChecker::CheckWhole() const {
--- a/proxy/service_dispatcher.h
+++ b/proxy/service_dispatcher.h
@@ -26,6 +26,7 @@
   DecisionBasis basis{};
 };
 
+// An endpoint that must be probed now.
 struct ProbeRequest {
   EndpointIndex endpoint = 0;
   EndpointTarget target;
--- a/wire/link_auth.h
+++ b/wire/link_auth.h
@@ -16,8 +16,8 @@
 // or proof.
 inline constexpr std::size_t kMaxGreetingBytes = 512;
 
-// The first message of each side of a new link, sent unencrypted and
-// unauthenticated. The nonce is unique to the link.
+// The first message of each side of a new link, sent unencrypted. The nonce is
+// unique to the link.
 struct LinkGreeting {
   std::string host;
   std::uint64_t incarnation = 0;
--- a/wire/peer_link.h
+++ b/wire/peer_link.h
@@ -20,6 +20,7 @@
 using SteadyClock = std::chrono::steady_clock;
 using SteadyTime = SteadyClock::time_point;
 
+// Phases of a link: exchange of greetings, exchange of proofs, open.
 enum class LinkPhase { kGreeting, kProof, kOpen };
 
 // State of one websocket: the peer's identity and the progress of mutual
--- a/wire/websocket_transport.h
+++ b/wire/websocket_transport.h
@@ -17,6 +17,7 @@
 class LinkHub;
 }  // namespace detail
 
+// Options of a WebsocketTransport.
 struct WebsocketTransportOptions {
   // This daemon's host id.
   std::string host;
