--- a/fleet/fleet_limit_gate.cc
+++ b/fleet/fleet_limit_gate.cc
@@ -12,11 +12,11 @@
     : read_clock_(std::move(read_clock)),
       ledger_(std::move(self), incarnation, options) {}
 
-// A thread may have been stopped since its caller read the clock. A lease that
-// ended meanwhile would look live, and a loan would be counted from before the
-// borrower asked; so the clock is read again under the lock.
-TimePoint FleetLimitGate::Now(TimePoint told) const {
-  return std::max(told, read_clock_());
+// Reads the clock again under the lock, as the thread may have been suspended
+// since its caller read the clock. With the old time, an expired lease would
+// look live, and a loan would run from before the borrower's request.
+TimePoint FleetLimitGate::Now(TimePoint caller_time) const {
+  return std::max(caller_time, read_clock_());
 }
 
 LimitGate::Verdict FleetLimitGate::Enter(const Contract& contract,
--- a/fleet/fleet_limit_gate.h
+++ b/fleet/fleet_limit_gate.h
@@ -10,9 +10,10 @@
 
 namespace damasktack {
 
-// The LimitGate of a daemon in a fleet: a LimitLedger behind one lock, which
-// callers' threads and the fleet loop share. A call is decided by what this
-// host has at hand and never waits for a message. Also a FleetModule.
+// The LimitGate of a daemon in a fleet: a LimitLedger behind a mutex, shared by
+// the threads that serve callers and the fleet loop. Admission depends only on
+// the shares that this host has now and never waits for a message. Also a
+// FleetModule.
 class FleetLimitGate : public LimitGate {
  public:
   using ReadClock = std::function<TimePoint()>;
@@ -32,10 +33,10 @@
                  Outbox& out);
   void Tick(TimePoint now, Outbox& out);
 
-  // To be called before the contracts are put in force for callers.
+  // Sets the contracts in force. To be called before they apply to callers.
   void SetContracts(const std::vector<Contract>& contracts);
-  // For a daemon without peers, whatever the list says: it owns every limit
-  // whole.
+  // Makes this host own every limit entirely, for a daemon without peers,
+  // whatever the host list says.
   void SetAlone();
   void ConfirmGone(const HostId& host, Outbox& out);
   void HandBack(Outbox& out);
@@ -44,7 +45,7 @@
   LimitLedgerStatus Status() const;
 
  private:
-  TimePoint Now(TimePoint told) const;
+  TimePoint Now(TimePoint caller_time) const;
 
   const ReadClock read_clock_;
   bool alone_ = false;
--- a/fleet/limit_account.h
+++ b/fleet/limit_account.h
@@ -14,64 +14,83 @@
 
 namespace damasktack {
 
-// One limit of one customer on this host: the part owned, lent and borrowed,
-// what is in use, and what is likely to be needed. Amounts in kLimitUnit.
+// Tracks one limit of one customer on this host: the shares that it owns, has
+// lent and has borrowed, their current use, and the expected demand. Amounts
+// are in kLimitUnit.
 class LimitAccount {
  public:
   LimitAccount(LimitKind kind, const LimitOptions& options);
 
-  // `limit` in calls or calls a second; 0 bounds nothing. `longest_call` is
-  // the longest deadline of the customer's calls.
+  // Sets the limit of the whole fleet, in calls or calls per second; 0 means
+  // unlimited. `longest_call` is the longest deadline of the customer's calls.
   void SetLimit(std::int64_t limit, Duration longest_call, TimePoint now);
-  // This host's part is 1/`hosts` where it owns one.
+  // Sets this host's own share: 1/`hosts` of the limit if `owns`, else none.
   void SetDivision(std::int64_t hosts, bool owns, TimePoint now);
 
   bool bounded() const { return limit_ > 0; }
-  // Nothing is in flight, lent or borrowed: the account may be forgotten.
+  // Returns whether nothing is in flight, lent or borrowed, so that the
+  // account may be removed.
   bool idle() const {
-    return in_flight_ == 0 && loans_.size() == 0 && debts_.size() == 0;
+    return in_flight_ == 0 && lender_.size() == 0 && borrower_.size() == 0;
   }
-  // Whether one more call fits. Counts the wish either way.
-  bool Offer(TimePoint now);
-  // Takes the room of one call that Offer found.
-  void Take();
-  // An in-flight call has ended.
-  void GiveBack();
-  // When a refused call has a chance again.
+  // Returns whether the usable shares admit one more call. Counts the call as
+  // demand either way.
+  bool OfferCall(TimePoint now);
+  // Uses up the capacity of one call, after OfferCall returned true.
+  void ConsumeCall();
+  // Frees the capacity of a call that has ended, if the limit is on calls in
+  // flight.
+  void EndCall();
+  // Returns how long the caller of a refused call should wait before a retry.
   Duration RetryAfter(TimePoint now) const;
 
+  // Returns the amount this host may use now: owned and not lent, plus
+  // borrowed.
   std::int64_t Usable(TimePoint now) const;
   std::int64_t owned() const { return owned_; }
-  std::int64_t lent() const { return loans_.total(); }
+  std::int64_t lent() const { return lender_.total(); }
   std::int64_t Borrowed(TimePoint now) const;
   std::int64_t in_flight() const { return in_flight_; }
-  // Nothing in use rests on parts that this host no longer has.
-  bool Fits(TimePoint now) const;
+  // Returns whether calls in flight and loans fit into the shares that this
+  // host has now. False for a while after its shares have shrunk.
+  bool IsWithinShares(TimePoint now) const;
 
+  // Returns the amount lent for the request, 0 if none.
   std::int64_t Lend(const HostId& borrower,
                     const LendAskItem& item,
                     TimePoint now);
-  void TakeBack(const HostId& borrower, std::uint64_t lease, TimePoint now);
+  // Handles the early return of a lease by its borrower.
+  void Reclaim(const HostId& borrower, std::uint64_t lease, TimePoint now);
   void OnGrant(const Sender& lender, const LendGrantItem& item, TimePoint now);
-  void DropOthers(const HostId& lender, Incarnation incarnation, TimePoint now);
-
-  // Once a round: forgets what ended and follows the demand.
-  void Round(TimePoint now);
-  // What is missing for the expected demand, beyond what was asked for.
-  std::int64_t Missing(TimePoint now) const;
-  LimitDebts& debts() { return debts_; }
-  // Of a size that one lender is likely to have.
-  std::int64_t TypicalPart() const;
-  void GiveUpSurplus(TimePoint now);
+  // Drops leases granted by other processes of `lender` than `incarnation`.
+  void DropOtherIncarnations(const HostId& lender,
+                             Incarnation incarnation,
+                             TimePoint now);
+
+  // Removes expired leases and updates the expected demand. To be called once
+  // a round.
+  void Update(TimePoint now);
+  // Returns the amount that the expected demand needs beyond what is usable
+  // and what has been requested; negative if there is a surplus.
+  std::int64_t Shortfall(TimePoint now) const;
+  LimitDebts& borrower() { return borrower_; }
+  // Returns an amount that a single lender is likely to be able to lend.
+  std::int64_t TypicalShare() const;
+  // Ends one lease that the expected demand does not need.
+  void ReturnSurplus(TimePoint now);
 
  private:
+  // Returns the amount by which in-flight calls may exceed the usable shares,
+  // to make up for rounding.
   std::int64_t Tolerance() const;
-  // Tokens for the time since the last change, at the lower of the rates.
-  void Accrue(TimePoint now);
+  // Adds the tokens for the time since the last refill, at the lower of the
+  // usable rates then and now.
+  void RefillTokens(TimePoint now);
   double TokenCap(std::int64_t usable) const;
-  std::int64_t Wanted() const;
-  void FollowRate(TimePoint now);
-  void FollowInFlight();
+  // Returns the expected demand with headroom, at most the limit.
+  std::int64_t ExpectedNeed() const;
+  void UpdateRateDemand(TimePoint now);
+  void UpdateInFlightDemand();
 
   const LimitKind kind_;
   const LimitOptions options_;
@@ -79,22 +98,25 @@
   Duration longest_call_{};
   std::int64_t hosts_ = 1;
   std::int64_t owned_ = 0;
-  LimitLoans loans_;
-  LimitDebts debts_;
+  LimitLoans lender_;
+  LimitDebts borrower_;
 
-  // Rate: calls that may start now, and when that was worked out.
+  // Token bucket of a rate limit: the calls that may start now, the time of
+  // the last refill, and the usable amount at that time.
   double tokens_ = 0;
-  TimePoint accrued_at_;
-  std::int64_t accrued_rate_ = 0;
+  TimePoint refilled_at_;
+  std::int64_t refill_rate_ = 0;
 
   std::int64_t in_flight_ = 0;
 
-  // Demand: calls a second, or calls at a time, as expected.
+  // Expected demand: calls per second, or concurrent calls.
   double demand_ = 0;
+  // Since the last update: calls offered, calls refused, and the peak of calls
+  // in flight.
   std::int64_t offered_ = 0;
   std::int64_t refused_ = 0;
   std::int64_t peak_ = 0;
-  TimePoint followed_at_;
+  TimePoint demand_updated_at_;
 };
 
 }  // namespace damasktack
--- a/fleet/limit_debts.cc
+++ b/fleet/limit_debts.cc
@@ -7,123 +7,126 @@
 
 namespace {
 
-// Borrowers far past this ask for less from more lenders in vain.
-constexpr std::size_t kMostDebts = 1024;
+// Leases of one limit on one borrower. Beyond this, asking more lenders for
+// ever smaller shares has no use.
+constexpr std::size_t kMaxLeases = 1024;
 
-// A lender that has nothing is asked again after at most this.
-constexpr Duration kLongestRefusal = std::chrono::seconds(4);
+// Upper bound of the backoff before a lender that refused is asked again.
+constexpr Duration kMaxRefusalWait = std::chrono::seconds(4);
 
 }  // namespace
 
 std::int64_t LimitDebts::Usable(Duration longest_call, TimePoint now) const {
   std::int64_t usable = 0;
-  for (const Debt& it : debts_) {
+  for (const Lease& it : leases_) {
     const bool live = now < it.until && longest_call <= it.longest_call;
     usable += live ? it.amount : 0;
   }
   return usable;
 }
 
-std::int64_t LimitDebts::Pending() const {
+std::int64_t LimitDebts::PendingAmount() const {
   std::int64_t pending = 0;
-  for (const Unanswered& it : unanswered_) {
-    pending += it.ask.amount;
+  for (const PendingRequest& it : pending_) {
+    pending += it.request.amount;
   }
   return pending;
 }
 
-LimitDebts::Ask LimitDebts::Borrow(const HostId& lender,
-                                   std::uint64_t lease,
-                                   std::int64_t amount,
-                                   TimePoint now) {
-  const Ask ask{lender, lease, 0, amount};
-  unanswered_.push_back({ask, now, now});
-  return ask;
+LimitDebts::Request LimitDebts::Borrow(const HostId& lender,
+                                       std::uint64_t lease,
+                                       std::int64_t amount,
+                                       TimePoint now) {
+  const Request request{lender, lease, 0, amount};
+  pending_.push_back({request, now, now});
+  return request;
 }
 
-bool LimitDebts::Asks(const HostId& lender, TimePoint now) const {
-  const bool waits = std::any_of(
-      unanswered_.begin(), unanswered_.end(),
-      [&](const Unanswered& it) { return it.ask.lender == lender; });
+bool LimitDebts::CanRequestFrom(const HostId& lender, TimePoint now) const {
+  const bool is_pending = std::any_of(
+      pending_.begin(), pending_.end(),
+      [&](const PendingRequest& it) { return it.request.lender == lender; });
   const bool refused = std::any_of(
       refusals_.begin(), refusals_.end(),
       [&](const Refusal& it) { return it.lender == lender && now < it.until; });
-  return !waits && !refused && debts_.size() < kMostDebts;
+  return !is_pending && !refused && leases_.size() < kMaxLeases;
 }
 
 void LimitDebts::OnGrant(const HostId& lender,
                          Incarnation incarnation,
                          const LendGrantItem& item,
                          TimePoint now) {
-  const auto is_first = [&](const Unanswered& it) {
-    return it.ask.lease == item.lease && it.ask.lender == lender;
+  const auto is_first = [&](const PendingRequest& it) {
+    return it.request.lease == item.lease && it.request.lender == lender;
   };
-  const auto first =
-      std::find_if(unanswered_.begin(), unanswered_.end(), is_first);
-  if (first != unanswered_.end() && item.renewal == 0) {
-    const Unanswered asked = *first;
-    unanswered_.erase(first);
-    if (item.amount < asked.ask.amount) {
-      Refuse(lender, item.amount > 0, now);
+  const auto first = std::find_if(pending_.begin(), pending_.end(), is_first);
+  if (first != pending_.end() && item.renewal == 0) {
+    const PendingRequest asked = *first;
+    pending_.erase(first);
+    if (item.amount < asked.request.amount) {
+      RecordRefusal(lender, item.amount > 0, now);
     }
     if (item.amount > 0) {
-      debts_.push_back({lender, incarnation, item.lease, 0, item.amount,
-                        item.lasts, item.longest_call,
-                        asked.asked_at + item.lasts, std::nullopt, now});
+      leases_.push_back({lender, incarnation, item.lease, 0, item.amount,
+                         item.lasts, item.longest_call,
+                         asked.requested_at + item.lasts, std::nullopt, now});
     }
     return;
   }
-  const auto debt =
-      std::find_if(debts_.begin(), debts_.end(), [&](const Debt& it) {
+  const auto lease =
+      std::find_if(leases_.begin(), leases_.end(), [&](const Lease& it) {
         return it.lease == item.lease && it.lender == lender;
       });
-  // A grant that comes after its ask was given up is handed back: the lender
-  // would otherwise keep the part aside until its own, longer, hold ends.
-  if (debt == debts_.end()) {
+  // A grant that arrives after its request was dropped is returned: otherwise
+  // the lender would keep the share reserved until its own, longer, hold ends.
+  if (lease == leases_.end()) {
     if (item.amount > 0) {
-      ended_.push_back({lender, item.lease});
+      returns_.push_back({lender, item.lease});
     }
     return;
   }
   const bool answers_renewal =
-      debt->renewal_asked && debt->renewal == item.renewal;
+      lease->renewal_requested_at && lease->renewal == item.renewal;
   if (answers_renewal && item.amount > 0) {
-    debt->until = *debt->renewal_asked + debt->lasts;
-    debt->renewal_asked.reset();
+    lease->until = *lease->renewal_requested_at + lease->duration;
+    lease->renewal_requested_at.reset();
   }
 }
 
-// Where every host is short, none has anything to lend; asking all of them
-// several times a second would be most of what hosts say to each other.
-void LimitDebts::Refuse(const HostId& lender, bool lent_some, TimePoint now) {
+// Backs off exponentially. If all hosts are short of capacity, none can lend,
+// and requests to all of them several times a second would make up most of the
+// traffic between hosts.
+void LimitDebts::RecordRefusal(const HostId& lender,
+                               bool lent_some,
+                               TimePoint now) {
   const auto it =
       std::find_if(refusals_.begin(), refusals_.end(),
                    [&](const Refusal& one) { return one.lender == lender; });
   const bool again = it != refusals_.end() && !lent_some;
-  const Duration wait =
-      again ? std::min(it->wait * 2, kLongestRefusal) : options_.repeat;
+  const Duration wait = again ? std::min(it->wait * 2, kMaxRefusalWait)
+                              : options_.resend_interval;
   if (it != refusals_.end()) {
     refusals_.erase(it);
   }
   refusals_.push_back({lender, now + wait, wait});
 }
 
-std::vector<LimitDebts::Ask> LimitDebts::Due(TimePoint now) {
-  std::vector<Ask> due;
-  for (Unanswered& it : unanswered_) {
-    if (it.sent_at + options_.repeat <= now) {
+std::vector<LimitDebts::Request> LimitDebts::TakeDueRequests(TimePoint now) {
+  std::vector<Request> due;
+  for (PendingRequest& it : pending_) {
+    if (it.sent_at + options_.resend_interval <= now) {
       it.sent_at = now;
-      due.push_back(it.ask);
+      due.push_back(it.request);
     }
   }
-  for (Debt& it : debts_) {
-    const bool half_over = it.until - it.lasts / 2 <= now;
-    if (!half_over || it.sent_at + options_.repeat > now) {
+  for (Lease& it : leases_) {
+    const bool half_over = it.until - it.duration / 2 <= now;
+    if (!half_over || it.sent_at + options_.resend_interval > now) {
       continue;
     }
-    if (!it.renewal_asked) {
+    if (!it.renewal_requested_at) {
       ++it.renewal;
-      it.renewal_asked = now;
+      it.renewal_requested_at = now;
     }
     it.sent_at = now;
     due.push_back({it.lender, it.lease, it.renewal, it.amount});
@@ -132,13 +135,13 @@
 }
 
 void LimitDebts::Expire(TimePoint now) {
-  std::erase_if(unanswered_, [&](const Unanswered& it) {
-    return it.asked_at + options_.lease / 2 < now;
+  std::erase_if(pending_, [&](const PendingRequest& it) {
+    return it.requested_at + options_.lease / 2 < now;
   });
   std::erase_if(refusals_, [&](const Refusal& it) {
-    return it.until + kLongestRefusal < now;
+    return it.until + kMaxRefusalWait < now;
   });
-  std::erase_if(debts_, [&](const Debt& it) {
+  std::erase_if(leases_, [&](const Lease& it) {
     if (now < it.until) {
       return false;
     }
@@ -147,38 +150,39 @@
   });
 }
 
-bool LimitDebts::GiveUp(std::int64_t amount) {
-  auto largest = debts_.end();
-  for (auto it = debts_.begin(); it != debts_.end(); ++it) {
+bool LimitDebts::ReturnOne(std::int64_t amount) {
+  auto largest = leases_.end();
+  for (auto it = leases_.begin(); it != leases_.end(); ++it) {
     const bool fits = it->amount <= amount;
-    if (fits && (largest == debts_.end() || it->amount > largest->amount)) {
+    if (fits && (largest == leases_.end() || it->amount > largest->amount)) {
       largest = it;
     }
   }
-  if (largest == debts_.end()) {
+  if (largest == leases_.end()) {
     return false;
   }
   End(*largest);
-  debts_.erase(largest);
+  leases_.erase(largest);
   return true;
 }
 
-void LimitDebts::GiveUpAll() {
-  unanswered_.clear();
-  for (const Debt& it : debts_) {
+void LimitDebts::ReturnAll() {
+  pending_.clear();
+  for (const Lease& it : leases_) {
     End(it);
   }
-  debts_.clear();
+  leases_.clear();
 }
 
-void LimitDebts::DropOthers(const HostId& lender, Incarnation incarnation) {
-  std::erase_if(debts_, [&](const Debt& it) {
+void LimitDebts::DropOtherIncarnations(const HostId& lender,
+                                       Incarnation incarnation) {
+  std::erase_if(leases_, [&](const Lease& it) {
     return it.lender == lender && it.incarnation != incarnation;
   });
 }
 
-std::vector<LimitDebts::Return> LimitDebts::TakeEnded() {
-  return std::exchange(ended_, {});
+std::vector<LimitDebts::Return> LimitDebts::TakeReturns() {
+  return std::exchange(returns_, {});
 }
 
 }  // namespace damasktack
--- a/fleet/limit_debts.h
+++ b/fleet/limit_debts.h
@@ -12,17 +12,19 @@
 
 namespace damasktack {
 
-// The borrower's side of one limit. A lease is counted from before its ask
-// was first sent, so it ends here before it ends at the lender.
+// Keeps the borrower's side of one limit: leases in use and lend requests
+// without an answer. A lease runs from before its request was first sent, so it
+// expires here before it expires at the lender.
 class LimitDebts {
  public:
-  // A wish for a lender, still without its lease's customer and kind.
-  struct Ask {
+  // A request to one lender. The caller adds the customer and the kind.
+  struct Request {
     HostId lender;
     std::uint64_t lease = 0;
     std::uint64_t renewal = 0;
     std::int64_t amount = 0;
   };
+  // A lease to be returned to its lender.
   struct Return {
     HostId lender;
     std::uint64_t lease = 0;
@@ -30,68 +32,73 @@
 
   explicit LimitDebts(const LimitOptions& options) : options_(options) {}
 
-  // What may be used now, of leases that allow calls of `longest_call`.
+  // Returns the sum of the live leases that admit calls of `longest_call`.
   std::int64_t Usable(Duration longest_call, TimePoint now) const;
-  // Asked for and not yet answered.
-  std::int64_t Pending() const;
+  // Returns the amount requested and not yet answered.
+  std::int64_t PendingAmount() const;
 
-  Ask Borrow(const HostId& lender,
-             std::uint64_t lease,
-             std::int64_t amount,
-             TimePoint now);
+  // Records a new request and returns it for sending.
+  Request Borrow(const HostId& lender,
+                 std::uint64_t lease,
+                 std::int64_t amount,
+                 TimePoint now);
   void OnGrant(const HostId& lender,
                Incarnation incarnation,
                const LendGrantItem& item,
                TimePoint now);
-  // Renewals that are due and asks that went unanswered.
-  std::vector<Ask> Due(TimePoint now);
-  // Forgets unanswered asks; leases that ended wait to be returned.
+  // Returns the requests to send now: renewals that are due, and requests that
+  // were not answered within the resend interval.
+  std::vector<Request> TakeDueRequests(TimePoint now);
+  // Drops requests that were not answered in time, and moves expired leases to
+  // the returns.
   void Expire(TimePoint now);
-  // Gives up one lease of at most `amount`, the largest such.
-  bool GiveUp(std::int64_t amount);
-  void GiveUpAll();
-  // Gives up what other processes of that host have lent.
-  void DropOthers(const HostId& lender, Incarnation incarnation);
-  // Leases that this host has stopped using, to be told to their lenders once
-  // no call rests on them.
-  std::vector<Return> TakeEnded();
+  // Ends the largest lease of at most `amount`. False if there is none.
+  bool ReturnOne(std::int64_t amount);
+  void ReturnAll();
+  // Drops leases granted by other processes of `lender` than `incarnation`.
+  void DropOtherIncarnations(const HostId& lender, Incarnation incarnation);
+  // Returns and clears the leases that this host no longer uses. To be sent to
+  // their lenders once no call in flight depends on them.
+  std::vector<Return> TakeReturns();
 
-  bool Asks(const HostId& lender, TimePoint now) const;
-  std::size_t size() const { return debts_.size(); }
+  // Returns whether a new request to this lender is worthwhile: none is
+  // pending, and the wait after its last refusal is over.
+  bool CanRequestFrom(const HostId& lender, TimePoint now) const;
+  std::size_t size() const { return leases_.size(); }
 
  private:
-  struct Unanswered {
-    Ask ask;
-    TimePoint asked_at;
+  struct PendingRequest {
+    Request request;
+    TimePoint requested_at;
     TimePoint sent_at;
   };
-  struct Debt {
+  struct Lease {
     HostId lender;
     Incarnation incarnation = 0;
     std::uint64_t lease = 0;
     std::uint64_t renewal = 0;
     std::int64_t amount = 0;
-    Duration lasts{};
+    Duration duration{};
     Duration longest_call{};
     TimePoint until;
-    // When the newest renewal was first asked for; none while it is answered.
-    std::optional<TimePoint> renewal_asked;
+    // When the pending renewal was first requested; null if none is pending.
+    std::optional<TimePoint> renewal_requested_at;
     TimePoint sent_at;
   };
   struct Refusal {
     HostId lender;
     TimePoint until;
-    // Doubled with each refusal in a row.
+    // Doubles with each consecutive refusal.
     Duration wait{};
   };
 
-  void Refuse(const HostId& lender, bool lent_some, TimePoint now);
-  void End(const Debt& debt) { ended_.push_back({debt.lender, debt.lease}); }
+  void RecordRefusal(const HostId& lender, bool lent_some, TimePoint now);
+  void End(const Lease& debt) { returns_.push_back({debt.lender, debt.lease}); }
 
   LimitOptions options_;
-  std::vector<Unanswered> unanswered_;
-  std::vector<Debt> debts_;
-  std::vector<Return> ended_;
+  std::vector<PendingRequest> pending_;
+  std::vector<Lease> leases_;
+  std::vector<Return> returns_;
   std::vector<Refusal> refusals_;
 };
 
--- a/fleet/limit_gate.h
+++ b/fleet/limit_gate.h
@@ -7,24 +7,26 @@
 
 namespace damasktack {
 
-// Asks whether one more call of a customer is within its contract's limits.
-// Safe to call from several threads.
+// Admits or refuses calls by the limits of the customer's contract.
+// Thread-safe.
 class LimitGate {
  public:
   struct Verdict {
     bool admitted = true;
-    // Where not admitted: when a new try has a chance.
+    // If not admitted: how long to wait before a retry.
     Duration retry_after{};
   };
 
   virtual ~LimitGate() = default;
 
-  // An admitted call must be given back with Leave exactly once.
+  // Decides whether one more call may start. Leave must be called exactly once
+  // for each admitted call.
   virtual Verdict Enter(const Contract& contract, TimePoint now) = 0;
+  // Ends an admitted call.
   virtual void Leave(const CustomerId& customer, TimePoint now) = 0;
 };
 
-// Admits everything; for tests and for a daemon without peers or limits.
+// Admits every call. For tests and for a daemon without peers or limits.
 class OpenLimitGate : public LimitGate {
  public:
   Verdict Enter(const Contract& /*contract*/, TimePoint /*now*/) override {
--- a/fleet/limit_hosts.cc
+++ b/fleet/limit_hosts.cc
@@ -7,18 +7,18 @@
 
 namespace {
 
-constexpr std::size_t kMostGone = 256;
-constexpr std::size_t kMostReplaced = 8;
+constexpr std::size_t kMaxGone = 256;
+constexpr std::size_t kMaxReplaced = 8;
 
 template <typename T>
 bool Contains(const std::vector<T>& values, const T& value) {
   return std::find(values.begin(), values.end(), value) != values.end();
 }
 
-// Keeps the newest `most` values.
+// Appends a value and keeps the newest `max_size` values.
 template <typename T>
-void Remember(std::vector<T>& values, const T& value, std::size_t most) {
-  if (values.size() >= most) {
+void PushBounded(std::vector<T>& values, const T& value, std::size_t max_size) {
+  if (values.size() >= max_size) {
     values.erase(values.begin());
   }
   values.push_back(value);
@@ -35,11 +35,11 @@
   return Contains(gone_, process);
 }
 
-LimitHosts::Entry* LimitHosts::Count(const CountedHost& process,
-                                     TimePoint now) {
+LimitHosts::Entry* LimitHosts::FindOrAdd(const CountedHost& process,
+                                         TimePoint now) {
   const bool unheard = process.incarnation == 0;
-  const bool dismissed = unheard && dismissed_.contains(process.host);
-  if (process.host == self_ || dismissed || IsGone(process)) {
+  const bool confirmed_down = unheard && confirmed_down_.contains(process.host);
+  if (process.host == self_ || confirmed_down || IsGone(process)) {
     return nullptr;
   }
   const auto [it, added] = entries_.try_emplace(process.host);
@@ -50,12 +50,12 @@
   if (unheard || process.incarnation == entry.incarnation) {
     return &entry;
   }
-  // A message of the old process that arrives late must not put it back.
+  // A late message of an old process must not replace the new one.
   if (Contains(entry.replaced, process.incarnation)) {
     return nullptr;
   }
   if (entry.incarnation != 0) {
-    Remember(entry.replaced, entry.incarnation, kMostReplaced);
+    PushBounded(entry.replaced, entry.incarnation, kMaxReplaced);
   }
   entry.incarnation = process.incarnation;
   entry.gone_at.reset();
@@ -72,13 +72,14 @@
     entry.reachable = false;
   }
   for (const PeerView& it : view.peers) {
-    // An owner counts a host when it hears it, which is before it acknowledges
-    // it; a listed host that never came up costs an owner nothing.
+    // A host that owns a share counts another one at its first message, which
+    // precedes the acknowledgement. A listed host that never came up therefore
+    // takes no share from it.
     const bool known = entries_.contains(it.id) || it.incarnation != 0;
     if (owns_ && !known) {
       continue;
     }
-    Entry* entry = Count({it.id, it.incarnation}, now);
+    Entry* entry = FindOrAdd({it.id, it.incarnation}, now);
     if (entry == nullptr) {
       continue;
     }
@@ -89,20 +90,20 @@
     }
   }
   for (const HostId& it : view.unlisted) {
-    if (Entry* entry = Count({it, 0}, now)) {
+    if (Entry* entry = FindOrAdd({it, 0}, now)) {
       entry->reachable = true;
     }
   }
-  TryToOwn();
+  UpdateOwnership();
 }
 
-bool LimitHosts::Hear(const Sender& sender, TimePoint now) {
-  Entry* entry = Count({sender.host, sender.incarnation}, now);
+bool LimitHosts::OnMessageFrom(const Sender& sender, TimePoint now) {
+  Entry* entry = FindOrAdd({sender.host, sender.incarnation}, now);
   if (entry == nullptr) {
     return false;
   }
   entry->heard_at = now;
-  // The view may have been made before this process was heard.
+  // The view may be older than this message.
   entry->reachable = true;
   return true;
 }
@@ -113,8 +114,9 @@
       it->second.incarnation != sender.incarnation) {
     return;
   }
-  // A new host that did not take over the acknowledger's set could miss a
-  // host that is cut off from it and go on owning beside it.
+  // The acknowledging host may count a host that is unreachable from here. If
+  // this host did not count it too, both would own shares without counting each
+  // other.
   Entry& acker = it->second;
   acker.acked_by = sender.incarnation;
   acker.owner_counts.reset();
@@ -122,16 +124,16 @@
     acker.owner_counts.emplace();
   }
   for (const CountedHost& process : ack.counted) {
-    // Hearsay may be older than what this host has heard itself.
+    // Second-hand information may be older than a message received directly.
     const bool heard = IncarnationOf(process.host) != 0;
     if (!heard) {
-      Count(process, acker.heard_at);
+      FindOrAdd(process, acker.heard_at);
     }
     if (ack.owner) {
       acker.owner_counts->insert(process.host);
     }
   }
-  TryToOwn();
+  UpdateOwnership();
 }
 
 bool LimitHosts::OnGone(const CountedHost& process, TimePoint now) {
@@ -139,71 +141,72 @@
     const auto unheard = entries_.find(process.host);
     if (unheard != entries_.end() && unheard->second.incarnation == 0) {
       entries_.erase(unheard);
-      dismissed_.insert(process.host);
-      TryToOwn();
+      confirmed_down_.insert(process.host);
+      UpdateOwnership();
     }
     return false;
   }
   if (process.host == self_ || IsGone(process)) {
     return false;
   }
-  Remember(gone_, process, kMostGone);
+  PushBounded(gone_, process, kMaxGone);
   const auto it = entries_.find(process.host);
   if (it != entries_.end() && it->second.incarnation == process.incarnation) {
     it->second.gone_at = now;
   }
-  TryToOwn();
+  UpdateOwnership();
   return true;
 }
 
-CountedHost LimitHosts::Confirm(const HostId& host, TimePoint now) {
+CountedHost LimitHosts::ConfirmGone(const HostId& host, TimePoint now) {
   const CountedHost process{host, IncarnationOf(host)};
   const auto it = entries_.find(host);
   if (it != entries_.end()) {
-    it->second.waived = true;
+    it->second.ack_waived = true;
   }
   OnGone(process, now);
   return process;
 }
 
 void LimitHosts::Tick(TimePoint now) {
-  // After a start of the whole fleet nobody can rule out a host that did not
-  // come back, so time must: one that was cut off all the while and has been
-  // off the list for long is taken for down.
+  // After a start of the whole fleet, no host can tell whether a host that did
+  // not come back is down or cut off. One that never sent a message and has
+  // been off the list for orphan_hold is taken as down.
   for (auto& [host, entry] : entries_) {
     const bool silent = now - entry.heard_at > options_.orphan_hold;
-    entry.waived =
-        entry.waived || (entry.incarnation == 0 && !entry.listed && silent);
+    entry.ack_waived =
+        entry.ack_waived || (entry.incarnation == 0 && !entry.listed && silent);
   }
-  // Parts that the ended process had lent are used until their leases end;
-  // counting it for that long keeps them from being divided a second time.
+  // Shares lent by the ended process are used until their leases end. Counting
+  // it for that long keeps these shares from being assigned twice.
   const Duration hold = options_.lease + options_.longest_call;
   std::erase_if(entries_, [&](const auto& it) {
     const Entry& entry = it.second;
     return entry.gone_at && *entry.gone_at + hold < now &&
-           (owns_ || !IsMissing(it.first, entry));
+           (owns_ || !IsAckMissing(it.first, entry));
   });
-  TryToOwn();
+  UpdateOwnership();
 }
 
 bool LimitHosts::HasAcked(const Entry& entry) const {
   return entry.acked_by && *entry.acked_by == entry.incarnation;
 }
 
-// Whether this host must not own before it has heard more of that one.
-bool LimitHosts::IsMissing(const HostId& host, const Entry& entry) const {
-  if (HasAcked(entry) || entry.waived) {
+// Whether this host must not own a share before `host` acknowledges it.
+bool LimitHosts::IsAckMissing(const HostId& host, const Entry& entry) const {
+  if (HasAcked(entry) || entry.ack_waived) {
     return false;
   }
-  // The list may name hosts that are down, and a new host cannot tell them
-  // from hosts that are cut off. An owner can: it counts all that own.
+  // The list may name hosts that are down, and a new host cannot tell them from
+  // hosts that are cut off. A host that owns a share can: it counts all others
+  // that do.
   const auto ruled_out = [&](const auto& it) {
     const Entry& other = it.second;
     return HasAcked(other) && other.owner_counts &&
            !other.owner_counts->contains(host);
   };
-  // A host that left before it acknowledged took along what it knew of hosts
-  // that are cut off; any other owner knows the same.
+  // A host that ended before it acknowledged may have known of hosts that are
+  // cut off. Any other host that owns a share knows the same hosts.
   const auto is_owner = [&](const auto& it) {
     return HasAcked(it.second) && it.second.owner_counts;
   };
@@ -214,7 +217,7 @@
          std::none_of(entries_.begin(), entries_.end(), ruled_out);
 }
 
-void LimitHosts::TryToOwn() {
+void LimitHosts::UpdateOwnership() {
   if (owns_ || !list_seen_ || !MissingAcks().empty()) {
     return;
   }
@@ -243,7 +246,7 @@
 std::vector<HostId> LimitHosts::MissingAcks() const {
   std::vector<HostId> missing;
   for (const auto& [host, entry] : entries_) {
-    if (IsMissing(host, entry)) {
+    if (IsAckMissing(host, entry)) {
       missing.push_back(host);
     }
   }
--- a/fleet/limit_hosts.h
+++ b/fleet/limit_hosts.h
@@ -16,81 +16,92 @@
 
 namespace damasktack {
 
-// A counted host that nobody can reach and no list names. Its part stays
+// A counted host that is unreachable and not on the host list. Its share stays
 // unused until it comes back or an operator confirms that it has ended.
 struct OrphanHost {
   CountedHost process;
   Duration silent{};
 };
 
-// Whom a host counts among those that may keep claims; from LimitHosts. Of
-// any two hosts that own, each counts the other.
+// The hosts that this host counts in the division of limits. Of any two hosts
+// that own a share, each counts the other. Claims use the same set to agree on
+// the hosts that may store claim records.
 struct CountedFleet {
+  // Whether this host owns a share.
   bool owns = false;
-  // Without this host and without processes that are proved gone.
+  // Excludes this host and processes that are known to have ended.
   std::vector<CountedHost> others;
 };
 
-// Says by how many hosts a limit is divided, and whether this host may own a
-// part. Of any two hosts that own, each counts the other, so the parts never
-// add up to more than the whole; docs/notes/limits.md has the argument.
+// Determines by how many hosts each limit is divided and whether this host may
+// own a share. Of any two hosts that own a share, each counts the other, so the
+// shares never add up to more than the limit. docs/notes/limits.md gives the
+// proof.
 class LimitHosts {
  public:
   LimitHosts(HostId self, Incarnation incarnation, LimitOptions options);
 
   void OnView(const HostView& view, TimePoint now);
-  // Counts the sender. False where its process is proved gone or replaced:
-  // what it says is then of no account.
-  bool Hear(const Sender& sender, TimePoint now);
+  // Counts the sender of a message. False if its process is known to have ended
+  // or was replaced; the message must then be ignored.
+  bool OnMessageFrom(const Sender& sender, TimePoint now);
   void OnAck(const Sender& sender, const CountAck& ack);
-  // True where it was news. Takes effect after every lease of that process
-  // has ended. Incarnation 0: a host that nobody has heard is down.
+  // Records that a process has ended; true if this was not known. The process
+  // is counted until all its leases have ended. Incarnation 0 stands for a host
+  // that is down and from which no message was received.
   bool OnGone(const CountedHost& process, TimePoint now);
-  // An operator's word that the last known process of the host has ended.
-  CountedHost Confirm(const HostId& host, TimePoint now);
+  // Records an operator's confirmation that the last known process of the host
+  // has ended, and returns that process.
+  CountedHost ConfirmGone(const HostId& host, TimePoint now);
   void Tick(TimePoint now);
 
-  // Hosts that this one counts, itself included.
+  // Returns the number of hosts that this host counts, itself included.
   std::int64_t size() const;
-  // Latched: an owner stays one until its process ends.
+  // Returns whether this host owns a share. Once true, it stays true until the
+  // process ends.
   bool owns() const { return owns_; }
   std::vector<CountedHost> Counted() const;
+  // Returns the hosts that must acknowledge this one before it may own a share.
   std::vector<HostId> MissingAcks() const;
   std::vector<HostId> Reachable() const;
   std::vector<CountedHost> Gone() const { return gone_; }
   std::vector<OrphanHost> Orphans(TimePoint now) const;
-  // 0 where the host is not counted or has not been heard.
+  // 0 if the host is not counted or has not sent any message.
   Incarnation IncarnationOf(const HostId& host) const;
 
  private:
   struct Entry {
     Incarnation incarnation = 0;
-    // Processes that a later one has replaced.
+    // Earlier processes of the host.
     std::vector<Incarnation> replaced;
-    // The process of that host that has acknowledged this one.
+    // The process of that host that has acknowledged this host.
     std::optional<Incarnation> acked_by;
-    // Whom it counts, where it owned a part when it acknowledged.
+    // The hosts that it counts; null unless it owned a share when it
+    // acknowledged.
     std::optional<std::set<HostId>> owner_counts;
     std::optional<TimePoint> gone_at;
-    // Nothing more has to be heard of it before this host may own.
-    bool waived = false;
+    // This host may own a share without its acknowledgement.
+    bool ack_waived = false;
     TimePoint heard_at;
     bool listed = false;
     bool reachable = false;
   };
 
   bool IsGone(const CountedHost& process) const;
-  Entry* Count(const CountedHost& process, TimePoint now);
+  // Returns the entry of a process, adding or updating it. Null if the process
+  // must not be counted.
+  Entry* FindOrAdd(const CountedHost& process, TimePoint now);
   bool HasAcked(const Entry& entry) const;
-  bool IsMissing(const HostId& host, const Entry& entry) const;
-  void TryToOwn();
+  bool IsAckMissing(const HostId& host, const Entry& entry) const;
+  void UpdateOwnership();
 
   const HostId self_;
   const Incarnation incarnation_;
   const LimitOptions options_;
   std::map<HostId, Entry> entries_;
   std::vector<CountedHost> gone_;
-  std::set<HostId> dismissed_;
+  // Hosts that an operator confirmed as down before any message was received.
+  std::set<HostId> confirmed_down_;
   bool list_seen_ = false;
   bool owns_ = false;
 };
--- a/fleet/limit_ledger.cc
+++ b/fleet/limit_ledger.cc
@@ -13,7 +13,7 @@
 constexpr Duration kGossipInterval = std::chrono::seconds(1);
 constexpr std::int64_t kThousandth = kLimitUnit / 1000;
 
-Duration LongestCallOf(const Contract& contract) {
+Duration LongestDeadlineOf(const Contract& contract) {
   Duration longest{};
   for (const RequestRule& it : contract.requests) {
     longest = std::max(longest, it.deadline);
@@ -30,7 +30,7 @@
   return static_cast<std::size_t>(kind);
 }
 
-// Gathers what goes to each host, so that a round sends one message a host.
+// Collects items by host, so that a round sends one message per host.
 template <typename Message>
 class Batch {
  public:
@@ -53,14 +53,14 @@
                          LimitOptions options)
     : options_(options),
       hosts_(self, incarnation, options),
-      // Leases of an earlier process of this host must never be mistaken for
-      // this one's; incarnations are drawn at random.
+      // Starts at the incarnation, which is random, so that lease numbers of an
+      // earlier process of this host are not used again.
       next_lease_(incarnation),
       next_lender_(std::hash<HostId>()(self)) {}
 
 void LimitLedger::OnView(const HostView& view, TimePoint now, Outbox& /*out*/) {
   hosts_.OnView(view, now);
-  Divide(now);
+  UpdateShares(now);
 }
 
 void LimitLedger::OnMessage(const Sender& sender,
@@ -71,11 +71,11 @@
       [&](const auto& it) {
         if constexpr (requires { On(sender, it, now, out); }) {
           const Incarnation before = hosts_.IncarnationOf(sender.host);
-          if (!hosts_.Hear(sender, now)) {
+          if (!hosts_.OnMessageFrom(sender, now)) {
             return;
           }
           if (before != sender.incarnation) {
-            Divide(now);
+            UpdateShares(now);
           }
           On(sender, it, now, out);
         }
@@ -87,16 +87,17 @@
                      const CountAsk& /*ask*/,
                      TimePoint now,
                      Outbox& out) {
-  // Leases that an earlier process of the asker granted are no longer its to
-  // give: it will own its part again once everyone has acknowledged it.
+  // Leases granted by an earlier process of the sender are dropped: the new
+  // process owns the whole share once every host has acknowledged it.
   for (auto& [customer, accounts] : accounts_) {
     for (LimitAccount& it : accounts.kinds) {
-      it.DropOthers(sender.host, sender.incarnation, now);
+      it.DropOtherIncarnations(sender.host, sender.incarnation, now);
     }
   }
-  // The asker may own from the acknowledgement on, so it waits until calls and
-  // loans from before this host's part shrank have ended. It asks again.
-  if (Fits(now)) {
+  // The sender may own a share once it has the acknowledgement. Until calls and
+  // loans from before this host's share shrank have ended, no acknowledgement
+  // is sent; the sender repeats its request.
+  if (IsWithinShares(now)) {
     out.Send(sender.host,
              CountAck{sender.incarnation, hosts_.owns(), hosts_.Counted()});
   }
@@ -107,7 +108,7 @@
                      TimePoint now,
                      Outbox& /*out*/) {
   hosts_.OnAck(sender, ack);
-  Divide(now);
+  UpdateShares(now);
 }
 
 void LimitLedger::On(const Sender& /*sender*/,
@@ -115,7 +116,7 @@
                      TimePoint now,
                      Outbox& out) {
   for (const CountedHost& it : gone.gone) {
-    LearnGone(it, now, out);
+    RecordGone(it, now, out);
   }
 }
 
@@ -123,7 +124,7 @@
                      const Goodbye& /*goodbye*/,
                      TimePoint now,
                      Outbox& out) {
-  LearnGone({sender.host, sender.incarnation}, now, out);
+  RecordGone({sender.host, sender.incarnation}, now, out);
 }
 
 void LimitLedger::On(const Sender& sender,
@@ -164,15 +165,15 @@
   for (auto& [customer, accounts] : accounts_) {
     for (LimitAccount& it : accounts.kinds) {
       for (const std::uint64_t lease : returned.leases) {
-        it.TakeBack(sender.host, lease, now);
+        it.Reclaim(sender.host, lease, now);
       }
     }
   }
 }
 
-void LimitLedger::LearnGone(const CountedHost& process,
-                            TimePoint now,
-                            Outbox& out) {
+void LimitLedger::RecordGone(const CountedHost& process,
+                             TimePoint now,
+                             Outbox& out) {
   if (!hosts_.OnGone(process, now)) {
     return;
   }
@@ -182,14 +183,14 @@
 }
 
 void LimitLedger::ConfirmGone(const HostId& host, TimePoint now, Outbox& out) {
-  const CountedHost process = hosts_.Confirm(host, now);
+  const CountedHost process = hosts_.ConfirmGone(host, now);
   for (const HostId& it : hosts_.Reachable()) {
     out.Send(it, GoneHosts{{process}});
   }
-  Divide(now);
+  UpdateShares(now);
 }
 
-void LimitLedger::Divide(TimePoint now) {
+void LimitLedger::UpdateShares(TimePoint now) {
   for (auto& [customer, accounts] : accounts_) {
     for (LimitAccount& it : accounts.kinds) {
       it.SetDivision(hosts_.size(), hosts_.owns(), now);
@@ -197,10 +198,10 @@
   }
 }
 
-bool LimitLedger::Fits(TimePoint now) const {
+bool LimitLedger::IsWithinShares(TimePoint now) const {
   for (const auto& [customer, accounts] : accounts_) {
     for (const LimitAccount& it : accounts.kinds) {
-      if (it.bounded() && !it.Fits(now)) {
+      if (it.bounded() && !it.IsWithinShares(now)) {
         return false;
       }
     }
@@ -217,7 +218,7 @@
 
 void LimitLedger::Configure(const Contract& contract, TimePoint now) {
   Accounts& accounts = AccountsOf(contract.customer);
-  const Duration longest = LongestCallOf(contract);
+  const Duration longest = LongestDeadlineOf(contract);
   for (const LimitKind kind : {LimitKind::kRate, LimitKind::kInFlight}) {
     LimitAccount& account = accounts.kinds[IndexOf(kind)];
     account.SetLimit(LimitOf(contract, kind), longest, now);
@@ -227,8 +228,8 @@
 
 void LimitLedger::SetContracts(const std::vector<Contract>& contracts,
                                TimePoint now) {
-  // Forgetting what is lent would divide it a second time if the customer came
-  // back at once, so accounts in use stay, without a limit.
+  // Accounts in use stay, without a limit. If one with loans were removed and
+  // the customer came back at once, the lent shares would be assigned twice.
   for (auto& [customer, accounts] : accounts_) {
     for (LimitAccount& it : accounts.kinds) {
       it.SetLimit(0, {}, now);
@@ -245,8 +246,8 @@
   });
 }
 
-// A call may come under a contract that the ledger has not seen yet, or no
-// longer: its limits hold all the same.
+// A call may arrive under a contract that SetContracts has not announced yet,
+// or has already removed. Its limits apply nevertheless.
 void LimitLedger::ConfigureMissing(const Contract& contract, TimePoint now) {
   const Accounts& accounts = AccountsOf(contract.customer);
   for (const LimitKind kind : {LimitKind::kRate, LimitKind::kInFlight}) {
@@ -263,7 +264,7 @@
   Accounts& accounts = AccountsOf(contract.customer);
   LimitGate::Verdict verdict;
   for (LimitAccount& it : accounts.kinds) {
-    if (it.bounded() && !it.Offer(now)) {
+    if (it.bounded() && !it.OfferCall(now)) {
       verdict.admitted = false;
       verdict.retry_after = std::max(verdict.retry_after, it.RetryAfter(now));
     }
@@ -271,7 +272,7 @@
   ++(verdict.admitted ? counters_.admitted : counters_.refused);
   if (verdict.admitted) {
     for (LimitAccount& it : accounts.kinds) {
-      it.Take();
+      it.ConsumeCall();
     }
   }
   return verdict;
@@ -280,7 +281,7 @@
 void LimitLedger::Leave(const CustomerId& customer, TimePoint /*now*/) {
   const auto it = accounts_.find(customer);
   if (it != accounts_.end()) {
-    it->second.kinds[IndexOf(LimitKind::kInFlight)].GiveBack();
+    it->second.kinds[IndexOf(LimitKind::kInFlight)].EndCall();
   }
 }
 
@@ -289,84 +290,87 @@
   if (now < next_round_) {
     return;
   }
-  next_round_ = now + options_.round;
-  Divide(now);
+  next_round_ = now + options_.round_interval;
+  UpdateShares(now);
   for (auto& [customer, accounts] : accounts_) {
     for (LimitAccount& it : accounts.kinds) {
-      it.Round(now);
+      it.Update(now);
     }
   }
-  AskForAcks(now, out);
-  TellGone(now, out);
+  RequestAcks(now, out);
+  GossipGone(now, out);
   if (!handing_back_) {
     Borrow(now, out);
   }
   SendReturns(now, out);
 }
 
-void LimitLedger::AskForAcks(TimePoint now, Outbox& out) {
-  if (hosts_.owns() || now < next_ask_) {
+void LimitLedger::RequestAcks(TimePoint now, Outbox& out) {
+  if (hosts_.owns() || now < next_ack_request_) {
     return;
   }
-  next_ask_ = now + options_.repeat;
+  next_ack_request_ = now + options_.resend_interval;
   for (const HostId& it : hosts_.MissingAcks()) {
     out.Send(it, CountAsk{});
   }
 }
 
-// A goodbye may be lost, and then its part with it: whoever knows of one tells
-// another host each second.
-void LimitLedger::TellGone(TimePoint now, Outbox& out) {
+// If a goodbye is lost, the share of that host stays unused. Every host that
+// knows of ended processes therefore tells another host each second, in turn.
+void LimitLedger::GossipGone(TimePoint now, Outbox& out) {
   const std::vector<HostId> reachable = hosts_.Reachable();
   std::vector<CountedHost> gone = hosts_.Gone();
   if (now < next_gossip_ || reachable.empty() || gone.empty()) {
     return;
   }
   next_gossip_ = now + kGossipInterval;
-  const HostId& listener = reachable[next_listener_++ % reachable.size()];
-  out.Send(listener, GoneHosts{std::move(gone)});
+  const HostId& target = reachable[next_gossip_target_++ % reachable.size()];
+  out.Send(target, GoneHosts{std::move(gone)});
 }
 
 void LimitLedger::Borrow(TimePoint now, Outbox& out) {
   const std::vector<HostId> lenders = hosts_.Reachable();
-  Batch<LendAsk> asks;
+  Batch<LendAsk> requests;
   for (auto& [customer, accounts] : accounts_) {
     for (const LimitKind kind : {LimitKind::kRate, LimitKind::kInFlight}) {
       LimitAccount& account = accounts.kinds[IndexOf(kind)];
-      const auto add = [&, &customer = customer](const LimitDebts::Ask& it) {
+      const auto add = [&,
+                        &customer = customer](const LimitDebts::Request& it) {
         ++counters_.asks;
-        asks.For(it.lender).items.push_back(
+        requests.For(it.lender).items.push_back(
             {it.lease, it.renewal, customer, kind, it.amount});
       };
-      account.GiveUpSurplus(now);
-      for (const LimitDebts::Ask& it : account.debts().Due(now)) {
+      account.ReturnSurplus(now);
+      for (const LimitDebts::Request& it :
+           account.borrower().TakeDueRequests(now)) {
         add(it);
       }
-      std::int64_t missing = account.Missing(now);
-      for (std::size_t n = 0; n < lenders.size() && missing > 0; ++n) {
+      std::int64_t shortfall = account.Shortfall(now);
+      for (std::size_t n = 0; n < lenders.size() && shortfall > 0; ++n) {
         const HostId& lender = lenders[(next_lender_ + n) % lenders.size()];
-        if (account.debts().Asks(lender, now)) {
-          const std::int64_t amount = std::min(missing, account.TypicalPart());
-          add(account.debts().Borrow(lender, NextLease(), amount, now));
-          missing -= amount;
+        if (account.borrower().CanRequestFrom(lender, now)) {
+          const std::int64_t amount =
+              std::min(shortfall, account.TypicalShare());
+          add(account.borrower().Borrow(lender, NextLease(), amount, now));
+          shortfall -= amount;
         }
       }
     }
   }
   ++next_lender_;
-  asks.Send(out);
+  requests.Send(out);
 }
 
 void LimitLedger::SendReturns(TimePoint now, Outbox& out) {
   Batch<LendReturn> returns;
   for (auto& [customer, accounts] : accounts_) {
     for (LimitAccount& it : accounts.kinds) {
-      // Calls that still rest on an ended lease end before its lender's hold
-      // does; only then may it be handed back early.
-      if (!it.Fits(now)) {
+      // Calls in flight that still depend on an ended lease end before the
+      // lender's hold does. The lease is returned early only after these calls.
+      if (!it.IsWithinShares(now)) {
         continue;
       }
-      for (const LimitDebts::Return& ended : it.debts().TakeEnded()) {
+      for (const LimitDebts::Return& ended : it.borrower().TakeReturns()) {
         ++counters_.returns;
         returns.For(ended.lender).leases.push_back(ended.lease);
       }
@@ -379,7 +383,7 @@
   handing_back_ = true;
   for (auto& [customer, accounts] : accounts_) {
     for (LimitAccount& it : accounts.kinds) {
-      it.debts().GiveUpAll();
+      it.borrower().ReturnAll();
     }
   }
   SendReturns(now, out);
--- a/fleet/limit_ledger.h
+++ b/fleet/limit_ledger.h
@@ -15,7 +15,8 @@
 
 namespace damasktack {
 
-// One limit of one customer as operators see it, in thousandths.
+// State of one limit of one customer, for operators. Shares are in thousandths
+// of a call, or of a call per second.
 struct LimitStatus {
   CustomerId customer;
   LimitKind kind = LimitKind::kRate;
@@ -42,9 +43,11 @@
   LimitCounters counters;
 };
 
-// Keeps every customer's fleet-wide limits with the other hosts: the sum of
-// what all admit never passes a limit, whatever is lost, late or cut off.
-// A FleetModule; not safe for several threads (see FleetLimitGate).
+// Enforces the fleet-wide limits of all customers together with the other
+// hosts. Each limit is divided into shares of equal size, one per host, which
+// hosts lend to each other by demand. The sum of the calls that all hosts admit
+// never exceeds a limit, even if messages are lost or late or hosts are cut
+// off. A FleetModule; not thread-safe (see FleetLimitGate).
 class LimitLedger {
  public:
   LimitLedger(HostId self, Incarnation incarnation, LimitOptions options);
@@ -56,22 +59,23 @@
                  Outbox& out);
   void Tick(TimePoint now, Outbox& out);
 
-  // The contracts in force. A customer that is no longer named is forgotten
-  // once nothing of it is in flight, lent or borrowed.
+  // Sets the contracts in force. The accounts of a customer without a contract
+  // are removed once nothing is in flight, lent or borrowed.
   void SetContracts(const std::vector<Contract>& contracts, TimePoint now);
   LimitGate::Verdict Enter(const Contract& contract, TimePoint now);
   void Leave(const CustomerId& customer, TimePoint now);
 
-  // An operator has made sure that the last known process of `host` has ended.
-  // Told to the other hosts.
+  // Records an operator's confirmation that the last known process of `host`
+  // has ended, and tells the other hosts.
   void ConfirmGone(const HostId& host, TimePoint now, Outbox& out);
-  // Graceful stop: hands back what is borrowed and lends nothing more.
+  // Returns all borrowed leases and stops lending, for a graceful stop.
   void HandBack(TimePoint now, Outbox& out);
 
-  // For whatever else must agree on who may act at the same time.
+  // Returns the counted hosts, for other modules that must agree on the hosts
+  // that may act at the same time.
   CountedFleet Counted() const { return {hosts_.owns(), hosts_.Counted()}; }
   LimitLedgerStatus Status(TimePoint now) const;
-  // What may be used now of one limit, in kLimitUnit.
+  // Returns the amount of one limit that may be used now, in kLimitUnit.
   std::int64_t Usable(const CustomerId& customer,
                       LimitKind kind,
                       TimePoint now) const;
@@ -110,12 +114,13 @@
 
   Accounts& AccountsOf(const CustomerId& customer);
   void Configure(const Contract& contract, TimePoint now);
+  // Configures the accounts of a call's contract if a limit is not known yet.
   void ConfigureMissing(const Contract& contract, TimePoint now);
-  void Divide(TimePoint now);
-  bool Fits(TimePoint now) const;
-  void LearnGone(const CountedHost& process, TimePoint now, Outbox& out);
-  void AskForAcks(TimePoint now, Outbox& out);
-  void TellGone(TimePoint now, Outbox& out);
+  void UpdateShares(TimePoint now);
+  bool IsWithinShares(TimePoint now) const;
+  void RecordGone(const CountedHost& process, TimePoint now, Outbox& out);
+  void RequestAcks(TimePoint now, Outbox& out);
+  void GossipGone(TimePoint now, Outbox& out);
   void Borrow(TimePoint now, Outbox& out);
   void SendReturns(TimePoint now, Outbox& out);
   std::uint64_t NextLease() { return next_lease_++; }
@@ -126,9 +131,9 @@
   LimitCounters counters_;
   std::uint64_t next_lease_;
   std::size_t next_lender_;
-  std::size_t next_listener_ = 0;
+  std::size_t next_gossip_target_ = 0;
   TimePoint next_round_;
-  TimePoint next_ask_;
+  TimePoint next_ack_request_;
   TimePoint next_gossip_;
   bool handing_back_ = false;
 };
--- a/fleet/limit_loans.cc
+++ b/fleet/limit_loans.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Bounds what a borrower that asks without end can make a lender remember.
-constexpr std::size_t kMostLoans = 1024;
+// Bounds the memory that a borrower can take at a lender by endless requests.
+constexpr std::size_t kMaxLoans = 1024;
 
 }  // namespace
 
@@ -29,34 +29,35 @@
     if (item.renewal > loan->renewal && !renews) {
       return 0;
     }
-    // The borrower may count this answer from its latest ask, so the loan is
-    // prolonged also when the ask is an old one that comes late.
+    // The borrower may match this answer to its latest request and count the
+    // lease from there, so the loan is extended even if the request is an old
+    // one that arrives late.
     loan->renewal = std::max(loan->renewal, item.renewal);
     loan->until = now + hold_;
     return loan->amount;
   }
   const std::int64_t amount = std::min(item.amount, spare);
-  if (item.renewal > 0 || amount <= 0 || loans_.size() >= kMostLoans) {
+  if (item.renewal > 0 || amount <= 0 || loans_.size() >= kMaxLoans) {
     return 0;
   }
   loans_.push_back({borrower, item.lease, 0, amount, now + hold_});
-  AddUp();
+  UpdateTotal();
   return amount;
 }
 
-void LimitLoans::TakeBack(const HostId& borrower, std::uint64_t lease) {
+void LimitLoans::Reclaim(const HostId& borrower, std::uint64_t lease) {
   std::erase_if(loans_, [&](const Loan& loan) {
     return loan.lease == lease && loan.borrower == borrower;
   });
-  AddUp();
+  UpdateTotal();
 }
 
 void LimitLoans::Expire(TimePoint now) {
   std::erase_if(loans_, [&](const Loan& loan) { return loan.until < now; });
-  AddUp();
+  UpdateTotal();
 }
 
-void LimitLoans::AddUp() {
+void LimitLoans::UpdateTotal() {
   total_ = 0;
   for (const Loan& loan : loans_) {
     total_ += loan.amount;
--- a/fleet/limit_loans.h
+++ b/fleet/limit_loans.h
@@ -10,24 +10,25 @@
 
 namespace damasktack {
 
-// The lender's side of one limit: parts that others may be using. A part
-// counts as lent from before the grant is sent until `hold` after it, so every
-// use of it by the borrower ends earlier.
+// Keeps the lender's side of one limit: the shares that other hosts may be
+// using. A share counts as lent from before the grant is sent until `hold`
+// after it, so every use by the borrower ends earlier.
 class LimitLoans {
  public:
-  // `hold` covers the lease and whatever outlasts it.
+  // `hold` covers the lease and the calls that may outlast it.
   explicit LimitLoans(Duration hold) : hold_(hold) {}
 
-  // The amount lent under this item: of `spare` for a first ask, the same as
-  // before for a repeated one or a renewal. A renewal of a lease that has
-  // ended, or of one that the lender needs back, lends nothing.
+  // Returns the amount lent for the request: up to `spare` for a first request,
+  // the same amount as before for a repeated request or a renewal. 0 for the
+  // renewal of a lease that has ended, or if `renews` is false because the
+  // lender needs the share itself.
   std::int64_t Lend(const HostId& borrower,
                     const LendAskItem& item,
                     std::int64_t spare,
                     bool renews,
                     TimePoint now);
-  // The borrower has stopped using the part.
-  void TakeBack(const HostId& borrower, std::uint64_t lease);
+  // Removes a loan that the borrower has returned.
+  void Reclaim(const HostId& borrower, std::uint64_t lease);
   void Expire(TimePoint now);
 
   std::int64_t total() const { return total_; }
@@ -43,7 +44,7 @@
   };
 
   Loan* Find(const HostId& borrower, std::uint64_t lease);
-  void AddUp();
+  void UpdateTotal();
 
   Duration hold_;
   std::vector<Loan> loans_;
--- a/fleet/limit_messages.cc
+++ b/fleet/limit_messages.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::int64_t kLargestAmount =
+constexpr std::int64_t kMaxAmount =
     std::numeric_limits<std::int64_t>::max() / 4;
 
 template <typename Tag>
@@ -26,10 +26,11 @@
   out = static_cast<LimitKind>(index);
 }
 
-// Durations travel as nanoseconds: FormatDuration is for people.
+// Durations are encoded as a number of nanoseconds. FormatDuration is meant for
+// human readers.
 void ReadNanoseconds(JsonReader& reader, std::string_view key, Duration& out) {
   std::int64_t count = 0;
-  reader.Read(key, count, 0, kLargestAmount);
+  reader.Read(key, count, 0, kMaxAmount);
   out = Duration(count);
 }
 
@@ -116,7 +117,7 @@
   reader.Read("renewal", item.renewal);
   ReadId(reader, "customer", item.customer);
   ReadKind(reader, item.kind);
-  reader.Read("amount", item.amount, 0, kLargestAmount);
+  reader.Read("amount", item.amount, 0, kMaxAmount);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   return item;
 }
@@ -152,7 +153,7 @@
   reader.Read("renewal", item.renewal);
   ReadId(reader, "customer", item.customer);
   ReadKind(reader, item.kind);
-  reader.Read("amount", item.amount, 0, kLargestAmount);
+  reader.Read("amount", item.amount, 0, kMaxAmount);
   ReadNanoseconds(reader, "lasts", item.lasts);
   ReadNanoseconds(reader, "longest_call", item.longest_call);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
@@ -184,7 +185,7 @@
     for (const Json& it : *list) {
       if (!it.is_number_unsigned()) {
         reader.Refuse(ErrorKind::kWrongType, "leases", it.type_name(),
-                      "send the numbers of leases");
+                      "send lease numbers as unsigned integers");
         break;
       }
       message.leases.push_back(it.get<std::uint64_t>());
--- a/fleet/limit_messages.h
+++ b/fleet/limit_messages.h
@@ -12,24 +12,25 @@
 
 namespace damasktack {
 
-// What a customer's limit bounds. Both are counted in kLimitUnit.
+// The quantity that a customer's limit bounds. Amounts are in kLimitUnit.
 enum class LimitKind : std::uint8_t {
-  // Calls a second.
+  // Calls per second.
   kRate,
-  // Calls admitted and not yet answered.
+  // Concurrent calls: admitted and not yet answered.
   kInFlight,
 };
 inline constexpr std::size_t kLimitKindCount = 2;
 std::string_view ToString(LimitKind kind);
 
-// One call, or one call a second, in the unit of parts and leases: millionths,
-// so that rounding over all hosts stays below one call.
+// One call, or one call per second, in the unit of shares and leases. The unit
+// is a millionth, so that rounding errors over all hosts sum to less than one
+// call.
 inline constexpr std::int64_t kLimitUnit = 1'000'000;
 
-// One process of one host, as it counts in the division of a limit.
+// Identifies a process of a host that is counted in the division of limits.
 struct CountedHost {
   HostId host;
-  // 0 where the process has not been heard.
+  // 0 if no message of the host has been received.
   Incarnation incarnation = 0;
 
   Json ToJson() const;
@@ -39,7 +40,7 @@
   bool operator==(const CountedHost&) const = default;
 };
 
-// Asks the receiver to count the sender in every division from now on.
+// Asks the receiver to count the sender in the division of limits from now on.
 struct CountAsk {
   static constexpr std::string_view kKind = "count-ask";
 
@@ -50,12 +51,13 @@
   bool operator==(const CountAsk&) const = default;
 };
 
-// The sender counts process `asker` of the receiver, and these hosts too.
+// Answers a CountAsk: the sender counts process `asker` of the receiver, and
+// the hosts in `counted`.
 struct CountAck {
   static constexpr std::string_view kKind = "count-ack";
 
   Incarnation asker = 0;
-  // The sender owns a part, so it counts every other host that owns one.
+  // The sender owns a share, so it counts every other host that owns one.
   bool owner = false;
   std::vector<CountedHost> counted;
 
@@ -66,8 +68,9 @@
   bool operator==(const CountAck&) const = default;
 };
 
-// Processes that are proved to have ended. Incarnation 0 stands for a host
-// that an operator knows to be down and that nobody has heard.
+// Lists processes that are known to have ended: they said goodbye, or an
+// operator confirmed it. Incarnation 0 stands for a host that an operator knows
+// to be down and that has not sent any message.
 struct GoneHosts {
   static constexpr std::string_view kKind = "gone-hosts";
 
@@ -80,11 +83,11 @@
   bool operator==(const GoneHosts&) const = default;
 };
 
-// One wish to borrow, or to renew, a part of a customer's limit.
+// Requests a lease on a share of a customer's limit, or the renewal of one.
 struct LendAskItem {
-  // Drawn by the borrower; names the lease for its whole life.
+  // Identifies the lease, also over renewals. Chosen by the borrower.
   std::uint64_t lease = 0;
-  // 0 for the first ask, then one more for each renewal.
+  // 0 for the first request, incremented with each renewal.
   std::uint64_t renewal = 0;
   CustomerId customer;
   LimitKind kind = LimitKind::kRate;
@@ -98,6 +101,7 @@
   bool operator==(const LendAskItem&) const = default;
 };
 
+// Asks the receiver for leases.
 struct LendAsk {
   static constexpr std::string_view kKind = "lend-ask";
 
@@ -109,16 +113,17 @@
   bool operator==(const LendAsk&) const = default;
 };
 
-// The answer to one LendAskItem. An amount of 0 lends nothing.
+// Answers one LendAskItem. An amount of 0 is a refusal.
 struct LendGrantItem {
   std::uint64_t lease = 0;
   std::uint64_t renewal = 0;
   CustomerId customer;
   LimitKind kind = LimitKind::kRate;
   std::int64_t amount = 0;
-  // How long the lease lasts, counted by the borrower from before it asked.
+  // Duration of the lease, from the time at which the borrower first sent the
+  // request.
   Duration lasts{};
-  // Calls that may last longer must not be admitted on this lease.
+  // Calls with a longer deadline must not be admitted on this lease.
   Duration longest_call{};
 
   Json ToJson() const;
@@ -128,6 +133,7 @@
   bool operator==(const LendGrantItem&) const = default;
 };
 
+// Answers a LendAsk, item by item.
 struct LendGrant {
   static constexpr std::string_view kKind = "lend-grant";
 
@@ -140,7 +146,7 @@
   bool operator==(const LendGrant&) const = default;
 };
 
-// The sender has stopped using these leases for good.
+// Returns leases that the sender no longer uses to their lender.
 struct LendReturn {
   static constexpr std::string_view kKind = "lend-return";
 
--- a/fleet/limit_options.h
+++ b/fleet/limit_options.h
@@ -7,20 +7,22 @@
 
 namespace damasktack {
 
-// How limits are divided and lent. Every host of a fleet is given the same.
+// Settings for the division and lending of limits. They must be the same on
+// every host of a fleet.
 struct LimitOptions {
-  // How long a borrowed part lasts unless it is renewed.
+  // Duration of a lease on a borrowed share unless it is renewed.
   Duration lease = std::chrono::seconds(2);
-  // Parts of in-flight limits are lent only for contracts whose calls end
-  // within this; a lender waits so long after the end of a lease.
+  // Shares of in-flight limits are lent only for contracts whose deadlines are
+  // at most this. A lender waits this long after the end of a lease before it
+  // uses the share again, as calls may outlast the lease.
   Duration longest_call = std::chrono::minutes(1);
-  // A counted host that is off the list and silent for so long is shown to the
-  // operators as one that needs their word.
+  // A counted host that is not on the host list and has been silent for this
+  // long is reported to operators, who have to confirm that it has ended.
   Duration orphan_hold = std::chrono::minutes(5);
-  // Between two looks at demand.
-  Duration round = std::chrono::milliseconds(50);
-  // Between two asks for the same thing that was not answered.
-  Duration repeat = std::chrono::milliseconds(250);
+  // Interval between updates of demand, leases and requests.
+  Duration round_interval = std::chrono::milliseconds(50);
+  // Interval after which an unanswered request is sent again.
+  Duration resend_interval = std::chrono::milliseconds(250);
 };
 
 }  // namespace damasktack
--- a/tests/fleet/test_fleet_limit_gate.cc
+++ b/tests/fleet/test_fleet_limit_gate.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-TEST_CASE("a daemon alone owns the whole limit and gets it back") {
+TEST_CASE("a standalone daemon owns the whole limit and can reuse it") {
   FleetLimitGate gate(HostId("h0"), 1, {});
   const Contract contract = MakeContract(2);
   CHECK_FALSE(gate.Enter(contract, {}).admitted);
@@ -29,10 +29,10 @@
   CHECK(gate.Status().limits.front().in_flight == 2);
 }
 
-// A call's thread is stopped between reading the clock and asking the gate.
-// Meanwhile the borrowed part ends and its lender uses it again; by the old
-// time the lease would still hold and both would admit.
-TEST_CASE("an old time from a late thread does not keep a lease alive") {
+// A thread is suspended between reading the clock and calling the gate, and the
+// borrowed lease expires meanwhile. By the old time the lease would still be
+// valid, and both lender and borrower would admit calls on the share.
+TEST_CASE("an outdated time from a suspended thread does not extend a lease") {
   TimePoint clock = TimePoint(std::chrono::hours(1));
   FleetLimitGate gate(HostId("h0"), 1, {}, [&clock] { return clock; });
   const Contract contract = MakeContract(2);
--- a/tests/fleet/test_limit_ledger.cc
+++ b/tests/fleet/test_limit_ledger.cc
@@ -33,10 +33,11 @@
   return options;
 }
 
-// Divides by the number of hosts on its own list and nothing else.
-class ListDivision {
+// Divides the limit by the number of hosts on the host list only. A faulty
+// implementation, which the property test must detect.
+class HostListDivision {
  public:
-  ListDivision(HostId, Incarnation, LimitOptions) {}
+  HostListDivision(HostId, Incarnation, LimitOptions) {}
   void OnView(const HostView& view, TimePoint, Outbox&) {
     hosts_ = static_cast<std::int64_t>(view.peers.size()) + 1;
   }
@@ -58,25 +59,26 @@
   std::int64_t in_flight_ = 0;
 };
 
-// Callers of a fleet of ledgers, with an exact count of what was admitted.
+// Simulates callers of a fleet and checks the admitted calls against the limit,
+// with an exact count over all hosts.
 template <typename Module>
-class LimitTrial {
+class LimitSimulation {
  public:
-  // The last `missing` hosts are listed but never start.
-  LimitTrial(std::size_t hosts,
-             std::uint64_t seed,
-             const Contract& contract,
-             std::size_t missing = 0)
+  // The last `absent` hosts are on the host list but never start.
+  LimitSimulation(std::size_t hosts,
+                  std::uint64_t seed,
+                  const Contract& contract,
+                  std::size_t absent = 0)
       : contract_(contract), fleet_(hosts, seed, [&](HostId id, Incarnation n) {
           auto module = std::make_unique<Module>(id, n, Options());
           module->SetContracts({contract_}, fleet_.now());
           return module;
         }) {
-    for (std::size_t n = 0; n < hosts - missing; ++n) {
+    for (std::size_t n = 0; n < hosts - absent; ++n) {
       fleet_.Start(n);
     }
     fleet_.ShowViews();
-    level_ = Burst();
+    tokens_ = Burst();
   }
 
   FakeFleet<Module>& fleet() { return fleet_; }
@@ -87,8 +89,9 @@
       return false;
     }
     ++admitted_;
-    level_ -= 1;
-    broken_ = broken_ || (contract_.limits.calls_per_second > 0 && level_ < 0);
+    tokens_ -= 1;
+    limit_exceeded_ = limit_exceeded_ ||
+                      (contract_.limits.calls_per_second > 0 && tokens_ < 0);
     calls_.push_back({n, fleet_.HostAt(n).incarnation, fleet_.now() + lasts});
     CheckInFlight();
     return true;
@@ -96,17 +99,17 @@
 
   void Advance(Duration step) {
     fleet_.Advance(step);
-    const double passed = std::chrono::duration<double>(step).count();
+    const double elapsed_s = std::chrono::duration<double>(step).count();
     const auto rate = static_cast<double>(contract_.limits.calls_per_second);
-    level_ = std::min(level_ + rate * passed, Burst());
+    tokens_ = std::min(tokens_ + rate * elapsed_s, Burst());
     EndCalls();
   }
 
-  bool broken() const { return broken_; }
+  bool limit_exceeded() const { return limit_exceeded_; }
   std::uint64_t admitted() const { return admitted_; }
   std::size_t in_flight() const {
     return static_cast<std::size_t>(
-        std::count_if(calls_.begin(), calls_.end(), [&](const Entered& it) {
+        std::count_if(calls_.begin(), calls_.end(), [&](const ActiveCall& it) {
           return it.until > fleet_.now() &&
                  fleet_.HostAt(it.host).incarnation == it.incarnation &&
                  fleet_.Alive(it.host);
@@ -114,13 +117,14 @@
   }
 
  private:
-  struct Entered {
+  struct ActiveCall {
     std::size_t host = 0;
     Incarnation incarnation = 0;
     TimePoint until;
   };
 
-  // The stated burst: a tenth of a second, and one call for each host.
+  // The documented burst: a tenth of a second of the rate, and one call per
+  // host.
   double Burst() const {
     return 0.1 * static_cast<double>(contract_.limits.calls_per_second) +
            static_cast<double>(fleet_.size()) + 0.001;
@@ -128,14 +132,15 @@
 
   void CheckInFlight() {
     const std::int64_t limit = contract_.limits.in_flight;
-    broken_ =
-        broken_ || (limit > 0 && in_flight() > static_cast<std::size_t>(limit));
+    limit_exceeded_ =
+        limit_exceeded_ ||
+        (limit > 0 && in_flight() > static_cast<std::size_t>(limit));
   }
 
-  // A call ends by its deadline also where its host is paused; the host only
-  // hears of it later.
+  // A call ends by its deadline even if its host is paused; the host only
+  // notices later.
   void EndCalls() {
-    std::erase_if(calls_, [&](const Entered& it) {
+    std::erase_if(calls_, [&](const ActiveCall& it) {
       const bool crashed = !fleet_.Alive(it.host) ||
                            fleet_.HostAt(it.host).incarnation != it.incarnation;
       const bool ends = it.until <= fleet_.now() && fleet_.Awake(it.host);
@@ -148,16 +153,16 @@
 
   Contract contract_;
   FakeFleet<Module> fleet_;
-  std::vector<Entered> calls_;
-  double level_ = 0;
+  std::vector<ActiveCall> calls_;
+  double tokens_ = 0;
   std::uint64_t admitted_ = 0;
-  bool broken_ = false;
+  bool limit_exceeded_ = false;
 };
 
-// The stated assumption: the list of a process that starts names a host that
-// owns, or else every host that runs.
-void StartAgain(std::size_t n, auto& trial) {
-  auto& fleet = trial.fleet();
+// Restarts a host under the documented assumption: the host list of a starting
+// process names a host that owns a share, or else every running host.
+void RestartHost(std::size_t n, auto& simulation) {
+  auto& fleet = simulation.fleet();
   bool names_owner = false;
   for (const std::size_t it : fleet.HostAt(n).listed) {
     names_owner = names_owner ||
@@ -167,9 +172,10 @@
   fleet.ShowViews();
 }
 
-// One event of a generated schedule: numbers that choose what happens where.
-void Happen(std::uint32_t event, auto& trial) {
-  auto& fleet = trial.fleet();
+// Applies one event of a generated schedule, whose bits select the kind of
+// event, the hosts and its size. Then makes calls for 200 ms.
+void ApplyEvent(std::uint32_t event, auto& simulation) {
+  auto& fleet = simulation.fleet();
   const std::size_t a = (event >> 8) % fleet.size();
   const std::size_t b = (event >> 12) % fleet.size();
   const std::uint32_t size = (event >> 16) % 64;
@@ -194,7 +200,7 @@
       break;
     case 6:
       if (!fleet.Alive(a)) {
-        StartAgain(a, trial);
+        RestartHost(a, simulation);
       }
       break;
     case 7:
@@ -210,113 +216,116 @@
   }
   for (std::uint32_t n = 0; n < 10; ++n) {
     for (std::uint32_t call = 0; call < 1 + size / 8; ++call) {
-      trial.Call(a, milliseconds(60) * (size + 1));
-      trial.Call(b, milliseconds(30) * (size + 1));
+      simulation.Call(a, milliseconds(60) * (size + 1));
+      simulation.Call(b, milliseconds(30) * (size + 1));
     }
-    trial.Advance(milliseconds(20));
+    simulation.Advance(milliseconds(20));
   }
 }
 
+// Checks the limit over generated schedules of events.
 template <typename Module>
-bool NeverPasses(const Contract& contract, std::uint64_t seed_offset) {
+bool NeverExceedsLimit(const Contract& contract, std::uint64_t seed_offset) {
   return rc::check([&] {
     const auto hosts = *rc::gen::inRange<std::size_t>(2, 6);
     const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1'000'000);
     const auto events = *rc::gen::container<std::vector<std::uint32_t>>(
         200, rc::gen::inRange<std::uint32_t>(0, 1U << 30));
-    LimitTrial<Module> trial(hosts, seed + seed_offset, contract);
+    LimitSimulation<Module> simulation(hosts, seed + seed_offset, contract);
     for (int n = 0; n < 20; ++n) {
-      trial.Advance(milliseconds(20));
+      simulation.Advance(milliseconds(20));
     }
     for (const std::uint32_t it : events) {
-      Happen(it, trial);
-      RC_ASSERT(!trial.broken());
+      ApplyEvent(it, simulation);
+      RC_ASSERT(!simulation.limit_exceeded());
     }
   });
 }
 
 }  // namespace
 
-// A customer gets more through than its contract says: hosts that are cut off,
-// pause, restart, leave or see another list divide the limit differently, or
-// a lent part is used on both sides. Generated schedules of all of these.
-TEST_CASE("the sum of what all hosts admit never passes the limit") {
-  CHECK(NeverPasses<LimitLedger>(MakeContract(0, kInFlight), 0));
-  CHECK(NeverPasses<LimitLedger>(MakeContract(kRate, 0), 1));
-  CHECK(NeverPasses<LimitLedger>(MakeContract(kRate, 2 * kInFlight), 2));
+// Guards against a customer exceeding its contract's limit because hosts that
+// are cut off, pause, restart, leave or see different host lists divide the
+// limit differently, or because a lent share is used by lender and borrower.
+// Generated schedules combine these events.
+TEST_CASE("the calls admitted by all hosts never exceed the limit") {
+  CHECK(NeverExceedsLimit<LimitLedger>(MakeContract(0, kInFlight), 0));
+  CHECK(NeverExceedsLimit<LimitLedger>(MakeContract(kRate, 0), 1));
+  CHECK(NeverExceedsLimit<LimitLedger>(MakeContract(kRate, 2 * kInFlight), 2));
 }
 
-// The property must see the fault it is made for: a division by each host's
-// own list passes the limit as soon as two lists differ.
-TEST_CASE("the property catches a division by the list alone") {
-  LimitTrial<ListDivision> trial(4, 1, MakeContract(0, 8));
+// Checks that the simulation detects the fault it was written for: division by
+// each host's own list exceeds the limit as soon as two lists differ.
+TEST_CASE("the limit check detects a division by the host list alone") {
+  LimitSimulation<HostListDivision> simulation(4, 1, MakeContract(0, 8));
   for (std::size_t n = 0; n < 4; ++n) {
-    trial.fleet().List(0, n, n == 0);
+    simulation.fleet().List(0, n, n == 0);
   }
   for (int n = 0; n < 40; ++n) {
-    trial.Call(static_cast<std::size_t>(n % 4), seconds(3));
+    simulation.Call(static_cast<std::size_t>(n % 4), seconds(3));
   }
-  CHECK(trial.broken());
+  CHECK(simulation.limit_exceeded());
 }
 
-TEST_CASE("two of fifteen hosts gather most of a limit within two seconds") {
-  LimitTrial<LimitLedger> trial(15, 7, MakeContract(3000, 0));
+TEST_CASE("two of fifteen hosts borrow most of a limit within two seconds") {
+  LimitSimulation<LimitLedger> simulation(15, 7, MakeContract(3000, 0));
   for (int n = 0; n < 50; ++n) {
-    trial.Advance(milliseconds(10));
+    simulation.Advance(milliseconds(10));
   }
   std::uint64_t before = 0;
   for (int n = 0; n < 400; ++n) {
-    before = n == 200 ? trial.admitted() : before;
+    before = n == 200 ? simulation.admitted() : before;
     for (int call = 0; call < 40; ++call) {
-      trial.Call(static_cast<std::size_t>(call % 2), milliseconds(1));
+      simulation.Call(static_cast<std::size_t>(call % 2), milliseconds(1));
     }
-    trial.Advance(milliseconds(10));
+    simulation.Advance(milliseconds(10));
   }
-  CHECK(trial.admitted() - before > 3000 * 2 * 9 / 10);
-  CHECK_FALSE(trial.broken());
+  CHECK(simulation.admitted() - before > 3000 * 2 * 9 / 10);
+  CHECK_FALSE(simulation.limit_exceeded());
 }
 
-TEST_CASE("a limit smaller than the number of hosts is gathered on one") {
-  LimitTrial<LimitLedger> trial(15, 7, MakeContract(0, 3));
+TEST_CASE("one host borrows all of a limit smaller than the number of hosts") {
+  LimitSimulation<LimitLedger> simulation(15, 7, MakeContract(0, 3));
   for (int n = 0; n < 300; ++n) {
-    trial.Call(0, milliseconds(500));
-    trial.Advance(milliseconds(10));
+    simulation.Call(0, milliseconds(500));
+    simulation.Advance(milliseconds(10));
   }
-  std::size_t most = 0;
+  std::size_t peak = 0;
   for (int n = 0; n < 100; ++n) {
     for (int call = 0; call < 4; ++call) {
-      trial.Call(0, milliseconds(500));
+      simulation.Call(0, milliseconds(500));
     }
-    trial.Advance(milliseconds(10));
-    most = std::max(most, trial.in_flight());
+    simulation.Advance(milliseconds(10));
+    peak = std::max(peak, simulation.in_flight());
   }
-  CHECK(most == 3);
+  CHECK(peak == 3);
 }
 
-TEST_CASE("a host alone owns the whole limit") {
-  LimitTrial<LimitLedger> trial(1, 7, MakeContract(0, 5));
+TEST_CASE("a single host owns the whole limit") {
+  LimitSimulation<LimitLedger> simulation(1, 7, MakeContract(0, 5));
   int admitted = 0;
   for (int n = 0; n < 8; ++n) {
-    admitted += trial.Call(0, seconds(1)) ? 1 : 0;
+    admitted += simulation.Call(0, seconds(1)) ? 1 : 0;
   }
   CHECK(admitted == 5);
 }
 
-// A host is cut off and leaves everyone's list, but goes on serving its part.
-// A new host that nobody has told of it would divide without it. The others'
-// acknowledgements name it, so the new host owns nothing; it may borrow.
-TEST_CASE("a new host owns nothing while a cut-off host may") {
-  LimitTrial<LimitLedger> trial(4, 3, MakeContract(0, 12));
-  auto& fleet = trial.fleet();
+// A host is cut off and dropped from the host list, but still serves calls on
+// its share. A new host that does not know of it would divide the limit without
+// it. The acknowledgements of the other hosts name the host that is cut off, so
+// the new host owns no share until an operator confirms that host as gone.
+TEST_CASE("a new host owns no share while a cut-off host may own one") {
+  LimitSimulation<LimitLedger> simulation(4, 3, MakeContract(0, 12));
+  auto& fleet = simulation.fleet();
   for (int n = 0; n < 20; ++n) {
-    trial.Advance(milliseconds(20));
+    simulation.Advance(milliseconds(20));
   }
   fleet.Leave(3);
   for (std::size_t n = 0; n < 3; ++n) {
     fleet.List(n, 3, false);
   }
   for (int n = 0; n < 1000; ++n) {
-    trial.Advance(milliseconds(20));
+    simulation.Advance(milliseconds(20));
   }
   for (std::size_t n = 1; n < 4; ++n) {
     fleet.Cut(0, n, true);
@@ -326,7 +335,7 @@
   fleet.List(1, 3, true);
   fleet.List(2, 3, true);
   for (int n = 0; n < 100; ++n) {
-    trial.Advance(milliseconds(20));
+    simulation.Advance(milliseconds(20));
   }
   CHECK_FALSE(fleet.At(3).Status(fleet.now()).owns);
   CHECK(fleet.At(3).Status(fleet.now()).missing_acks ==
@@ -335,48 +344,49 @@
   fleet.At(1).ConfirmGone(HostId("h0"), fleet.now(), out);
   fleet.Post(1, out);
   for (int n = 0; n < 100; ++n) {
-    trial.Advance(milliseconds(20));
+    simulation.Advance(milliseconds(20));
   }
   CHECK(fleet.At(3).Status(fleet.now()).owns);
 }
 
-// All hosts start at once and one of them never comes up. Nobody knows whether
-// it is down or cut off and serving, so nobody owns until the list has been
-// without it for the time set.
-TEST_CASE("a host that never came up stops holding a new fleet back") {
-  LimitTrial<LimitLedger> trial(3, 3, MakeContract(0, 6), 1);
-  auto& fleet = trial.fleet();
+// All hosts start at once and one of them never comes up. No host can tell
+// whether that host is down, or cut off and serving. So no host owns a share
+// until the missing host has been off the host list for orphan_hold.
+TEST_CASE("a host that never came up blocks a new fleet only for a time") {
+  LimitSimulation<LimitLedger> simulation(3, 3, MakeContract(0, 6), 1);
+  auto& fleet = simulation.fleet();
   for (int n = 0; n < 100; ++n) {
-    trial.Advance(seconds(1));
+    simulation.Advance(seconds(1));
   }
   CHECK_FALSE(fleet.At(0).Status(fleet.now()).owns);
   fleet.List(0, 2, false);
   fleet.List(1, 2, false);
   for (int n = 0; n < 290; ++n) {
-    trial.Advance(seconds(1));
+    simulation.Advance(seconds(1));
   }
   CHECK_FALSE(fleet.At(0).Status(fleet.now()).owns);
   for (int n = 0; n < 20; ++n) {
-    trial.Advance(seconds(1));
+    simulation.Advance(seconds(1));
   }
   CHECK(fleet.At(0).Status(fleet.now()).owns);
   CHECK(fleet.At(0).Status(fleet.now()).counted_hosts == 2);
 }
 
-TEST_CASE("a goodbye gives the part to the others after its leases") {
-  LimitTrial<LimitLedger> trial(3, 3, MakeContract(0, 6));
+TEST_CASE(
+    "the share of a host that left is divided once its leases have ended") {
+  LimitSimulation<LimitLedger> simulation(3, 3, MakeContract(0, 6));
   for (int n = 0; n < 20; ++n) {
-    trial.Advance(milliseconds(20));
+    simulation.Advance(milliseconds(20));
   }
-  auto& fleet = trial.fleet();
+  auto& fleet = simulation.fleet();
   fleet.Leave(2);
   for (std::size_t n = 0; n < 2; ++n) {
     fleet.List(n, 2, false);
   }
-  trial.Advance(milliseconds(20));
+  simulation.Advance(milliseconds(20));
   CHECK(fleet.At(0).Status(fleet.now()).counted_hosts == 3);
   for (int n = 0; n < 400; ++n) {
-    trial.Advance(milliseconds(20));
+    simulation.Advance(milliseconds(20));
   }
   CHECK(fleet.At(0).Status(fleet.now()).counted_hosts == 2);
 }
--- a/tests/fleet/test_limit_messages.cc
+++ b/tests/fleet/test_limit_messages.cc
@@ -6,7 +6,7 @@
 
 namespace damasktack {
 
-TEST_CASE("limit messages come back as they were sent") {
+TEST_CASE("limit messages are decoded as they were encoded") {
   const LendGrantItem grant{
       ~std::uint64_t{0},      2,         CustomerId("parks"),
       LimitKind::kInFlight,   1'500'000, std::chrono::seconds(2),
