--- a/fleet/claim_exchange.cc
+++ b/fleet/claim_exchange.cc
@@ -10,10 +10,10 @@
                              Incarnation incarnation,
                              ClaimOptions options)
     : self_{self, incarnation},
-      keeper_(self, incarnation, options),
-      router_(incarnation, options) {}
+      replica_(self, incarnation, options),
+      client_(incarnation, options) {}
 
-void ClaimExchange::Deliver(TimePoint now, Outbox& from, Outbox& out) {
+void ClaimExchange::DeliverLocal(TimePoint now, Outbox& from, Outbox& out) {
   std::vector<Outbox::Item> items = from.Take();
   while (!items.empty()) {
     Outbox next;
@@ -34,12 +34,12 @@
                              Outbox& out) {
   std::visit(
       [&](const auto& it) {
-        if constexpr (requires { keeper_.On(sender, it, now, out); }) {
-          keeper_.On(sender, it, now, out);
+        if constexpr (requires { replica_.On(sender, it, now, out); }) {
+          replica_.On(sender, it, now, out);
         } else if constexpr (requires {
-                               router_.On(sender, it, keeper_, now, out);
+                               client_.On(sender, it, replica_, now, out);
                              }) {
-          router_.On(sender, it, keeper_, now, out);
+          client_.On(sender, it, replica_, now, out);
         }
       },
       message);
@@ -48,7 +48,7 @@
 void ClaimExchange::OnView(const HostView& view,
                            TimePoint /*now*/,
                            Outbox& /*out*/) {
-  keeper_.OnView(view);
+  replica_.OnView(view);
 }
 
 void ClaimExchange::OnMessage(const Sender& sender,
@@ -57,18 +57,18 @@
                               Outbox& out) {
   Outbox sent;
   Dispatch(sender, message, now, sent);
-  Deliver(now, sent, out);
+  DeliverLocal(now, sent, out);
 }
 
 void ClaimExchange::Tick(TimePoint now, Outbox& out) {
   Outbox sent;
-  keeper_.Tick(now, sent);
-  router_.Tick(keeper_, now, sent);
-  Deliver(now, sent, out);
+  replica_.Tick(now, sent);
+  client_.Tick(replica_, now, sent);
+  DeliverLocal(now, sent, out);
 }
 
 void ClaimExchange::SetCounted(CountedFleet counted) {
-  keeper_.SetCounted(std::move(counted));
+  replica_.SetCounted(std::move(counted));
 }
 
 void ClaimExchange::Claim(const ClaimRequest& request,
@@ -76,8 +76,8 @@
                           TimePoint now,
                           Outbox& out) {
   Outbox sent;
-  router_.Claim(request, std::move(done), keeper_, now, sent);
-  Deliver(now, sent, out);
+  client_.Claim(request, std::move(done), replica_, now, sent);
+  DeliverLocal(now, sent, out);
 }
 
 void ClaimExchange::Settle(const ClaimRequest& request,
@@ -87,14 +87,14 @@
                            TimePoint now,
                            Outbox& out) {
   Outbox sent;
-  router_.Settle(request, claim, outcome, std::move(answer), keeper_, now,
+  client_.Settle(request, claim, outcome, std::move(answer), replica_, now,
                  sent);
-  Deliver(now, sent, out);
+  DeliverLocal(now, sent, out);
 }
 
 ClaimStatus ClaimExchange::Status() const {
-  return {keeper_.Status(), router_.counters(), router_.asking(),
-          router_.unsettled()};
+  return {replica_.Status(), client_.counters(), client_.pending(),
+          client_.unsettled()};
 }
 
 }  // namespace damasktack
--- a/fleet/claim_exchange.h
+++ b/fleet/claim_exchange.h
@@ -9,17 +9,19 @@
 
 namespace damasktack {
 
-// Claims as operators see them on one host.
+// State of the claims on one host, for operators.
 struct ClaimStatus {
-  ClaimKeeperStatus keeper;
+  ClaimKeeperStatus replica;
   ClaimCounters claims;
-  std::size_t asking = 0;
+  // Claims without a verdict.
+  std::size_t pending = 0;
+  // Settlements without the acknowledgements of both replicas.
   std::size_t unsettled = 0;
 };
 
-// A host's claims as a whole: keeper and claimant, with the messages that it
-// sends to itself. A FleetModule; not safe for several threads (see
-// FleetClaimGate).
+// Combines the replica and the client of claims on one host, and delivers the
+// messages that they send to their own host. A FleetModule; not thread-safe
+// (see FleetClaimGate).
 class ClaimExchange {
  public:
   ClaimExchange(HostId self, Incarnation incarnation, ClaimOptions options);
@@ -31,7 +33,7 @@
                  Outbox& out);
   void Tick(TimePoint now, Outbox& out);
 
-  // To be called before each Tick.
+  // Sets the hosts that may be replicas. To be called before each Tick.
   void SetCounted(CountedFleet counted);
   void Claim(const ClaimRequest& request,
              ClaimRouter::Done done,
@@ -44,20 +46,21 @@
               TimePoint now,
               Outbox& out);
 
-  const ClaimKeeper& keeper() const { return keeper_; }
+  const ClaimKeeper& replica() const { return replica_; }
   ClaimStatus Status() const;
 
  private:
-  // Hands what this host has sent to itself back in, until nothing is left.
-  void Deliver(TimePoint now, Outbox& from, Outbox& out);
+  // Dispatches the messages in `from` that are addressed to this host, and
+  // those sent in reply, until none is left. All others go to `out`.
+  void DeliverLocal(TimePoint now, Outbox& from, Outbox& out);
   void Dispatch(const Sender& sender,
                 const PeerMessage& message,
                 TimePoint now,
                 Outbox& out);
 
   const Sender self_;
-  ClaimKeeper keeper_;
-  ClaimRouter router_;
+  ClaimKeeper replica_;
+  ClaimRouter client_;
 };
 
 static_assert(FleetModule<ClaimExchange>);
--- a/fleet/claim_gate.h
+++ b/fleet/claim_gate.h
@@ -12,19 +12,19 @@
 
 namespace damasktack {
 
-// A call that must run at most once and that may come again through any host
-// under the same key.
+// A call that must run at most once. Its caller may repeat it under the same
+// key through any host.
 struct ClaimRequest {
   CustomerId customer;
   // The caller's Idempotency-Key.
   std::string key;
-  // Digest of method, path and body; the same key with another request is a
-  // caller's mistake.
+  // Digest of method, path and body. Detects callers that use the same key for
+  // different requests.
   std::uint64_t request_digest = 0;
   TimePoint deadline;
 };
 
-// The answer of an earlier execution, as kept by the key's keepers.
+// The stored answer of an earlier execution of a call.
 struct KeptAnswer {
   int status = 0;
   std::string content_type;
@@ -34,42 +34,47 @@
 };
 
 enum class ClaimVerdict : std::uint8_t {
-  // Nobody else may send under this key until the claim is settled.
+  // The caller may run the call. No other call under this key is granted until
+  // the claim is settled.
   kGranted,
-  // It ran earlier; `answer` holds the answer where it was kept.
+  // The call ran earlier. `answer` holds its answer if it was stored.
   kAlreadyRan,
-  // Another call holds the claim and has not reported an end.
+  // Another call holds the claim and has not settled it yet.
   kInProgress,
-  // The same key came with another request.
+  // The key was used earlier with a different request.
   kMismatch,
-  // The keepers cannot be asked, or cannot vouch; nothing was claimed.
+  // The replicas that store the key's claims are unreachable, or cannot rule
+  // out an earlier claim. Nothing was claimed.
   kUnavailable,
 };
 
+// The result of a claim.
 struct ClaimReply {
   ClaimVerdict verdict = ClaimVerdict::kUnavailable;
   std::optional<KeptAnswer> answer;
-  // Names the grant when it is settled.
+  // Identifies a granted claim, for Settle.
   std::uint64_t claim = 0;
   Duration retry_after = std::chrono::seconds(1);
 };
 
-// Gives out claims on idempotency keys. Safe to call from several threads;
-// `done` runs on a thread of the gate, exactly once.
+// Grants claims on idempotency keys, so that each keyed call runs at most once.
+// Thread-safe.
 class ClaimGate {
  public:
   virtual ~ClaimGate() = default;
 
+  // Requests a claim. `done` runs exactly once, on a thread of the gate or
+  // within this call.
   virtual void Claim(const ClaimRequest& request,
                      std::function<void(const ClaimReply&)> done) = 0;
-  // Ends a granted claim. kNotRun frees the key for another try.
+  // Ends a granted claim. kNotRun frees the key for another attempt.
   virtual void Settle(const ClaimRequest& request,
                       std::uint64_t claim,
                       Outcome outcome,
                       std::optional<KeptAnswer> answer) = 0;
 };
 
-// Grants everything; for tests and for a daemon that runs alone.
+// Grants every claim. For tests and for a standalone daemon.
 class OpenClaimGate : public ClaimGate {
  public:
   void Claim(const ClaimRequest& /*request*/,
--- a/fleet/claim_keeper.cc
+++ b/fleet/claim_keeper.cc
@@ -10,11 +10,13 @@
 
 namespace {
 
-// Answers that one handover message carries; the frame's bound is a megabyte.
+// Maximum total size of the answers in one handover message. A peer frame is
+// limited to a megabyte.
 constexpr std::size_t kHandoverAnswerBytes = 400'000;
-// A takeover that did not come through makes room for another host's.
+// A takeover that did not complete in this time is aborted, so that another
+// host may take over.
 constexpr Duration kTakeoverTimeout = std::chrono::seconds(5);
-constexpr Duration kRound = std::chrono::milliseconds(100);
+constexpr Duration kTickInterval = std::chrono::milliseconds(100);
 
 std::uint64_t Score(std::int64_t bucket, const HostId& host) {
   return XXH3_64bits_withSeed(host.text().data(), host.text().size(),
@@ -27,7 +29,8 @@
                          Incarnation incarnation,
                          ClaimOptions options)
     : self_(std::move(self)), incarnation_(incarnation), options_(options) {
-  // All that a message may name, so that no index needs a check.
+  // One for every bucket that a message may name, so that no index needs a
+  // check.
   buckets_.reserve(kClaimBuckets);
   for (std::int64_t n = 0; n < kClaimBuckets; ++n) {
     buckets_.emplace_back(usage_);
@@ -39,29 +42,29 @@
   return buckets_[static_cast<std::size_t>(bucket)].known;
 }
 
-void ClaimKeeper::LearnKeepers(const ClaimKeepers& keepers) {
-  auto& known = buckets_[static_cast<std::size_t>(keepers.bucket)].known;
-  if (!known || known->ballot < keepers.ballot) {
-    known = keepers;
+void ClaimKeeper::LearnKeepers(const ClaimKeepers& replicas) {
+  auto& known = buckets_[static_cast<std::size_t>(replicas.bucket)].known;
+  if (!known || known->ballot < replicas.ballot) {
+    known = replicas;
   }
 }
 
 void ClaimKeeper::OnView(const HostView& view) {
   view_ = view;
-  FindCandidates();
+  UpdateCandidates();
 }
 
 void ClaimKeeper::SetCounted(CountedFleet counted) {
   counted_ = std::move(counted);
-  FindCandidates();
+  UpdateCandidates();
 }
 
 std::optional<ClaimBallot> ClaimKeeper::HeldUnder(std::int64_t bucket) const {
-  const auto& kept = buckets_[static_cast<std::size_t>(bucket)].kept;
-  return kept ? std::optional(kept->ballot) : std::nullopt;
+  const auto& held = buckets_[static_cast<std::size_t>(bucket)].held;
+  return held ? std::optional(held->ballot) : std::nullopt;
 }
 
-void ClaimKeeper::FindCandidates() {
+void ClaimKeeper::UpdateCandidates() {
   candidates_.clear();
   if (!view_.self_leaving) {
     candidates_.push_back(
@@ -77,7 +80,8 @@
   }
 }
 
-ClaimKeeper::Pair ClaimKeeper::Wanted(std::int64_t bucket) const {
+ClaimKeeper::ReplicaPair ClaimKeeper::DesiredReplicas(
+    std::int64_t bucket) const {
   const auto best = [&](auto allowed) -> const PeerView* {
     const PeerView* found = nullptr;
     std::uint64_t highest = 0;
@@ -90,21 +94,22 @@
     }
     return found;
   };
-  const PeerView* first = best([](const PeerView&) { return true; });
-  if (first == nullptr) {
+  const PeerView* primary = best([](const PeerView&) { return true; });
+  if (primary == nullptr) {
     return {};
   }
-  // Another zone, so that the loss of one zone does not take both.
-  const PeerView* second = best([&](const PeerView& it) {
-    return it.id != first->id && it.zone != first->zone;
+  // In another zone if possible, so that the loss of one zone does not lose
+  // both replicas.
+  const PeerView* secondary = best([&](const PeerView& it) {
+    return it.id != primary->id && it.zone != primary->zone;
   });
-  if (second == nullptr) {
-    second = best([&](const PeerView& it) { return it.id != first->id; });
+  if (secondary == nullptr) {
+    secondary = best([&](const PeerView& it) { return it.id != primary->id; });
   }
-  return {first->id, second == nullptr ? first->id : second->id};
+  return {primary->id, secondary == nullptr ? primary->id : secondary->id};
 }
 
-bool ClaimKeeper::EveryoneReachable() const {
+bool ClaimKeeper::AllCountedReachable() const {
   return std::all_of(counted_.others.begin(), counted_.others.end(),
                      [&](const CountedHost& other) {
                        return std::any_of(
@@ -115,9 +120,9 @@
                      });
 }
 
-bool ClaimKeeper::KeepsUnder(const Bucket& bucket,
-                             const ClaimBallot& ballot) const {
-  return bucket.kept && bucket.kept->ballot == ballot &&
+bool ClaimKeeper::IsActiveUnder(const Bucket& bucket,
+                                const ClaimBallot& ballot) const {
+  return bucket.held && bucket.held->ballot == ballot &&
          bucket.promised <= ballot;
 }
 
@@ -125,91 +130,99 @@
   if (now < next_round_) {
     return;
   }
-  next_round_ = now + kRound;
-  buckets_[next_sweep_].records.Forget(now - options_.retention);
-  next_sweep_ = (next_sweep_ + 1) % buckets_.size();
+  next_round_ = now + kTickInterval;
+  buckets_[next_expiry_bucket_].records.RemoveEndedBefore(now -
+                                                          options_.retention);
+  next_expiry_bucket_ = (next_expiry_bucket_ + 1) % buckets_.size();
   for (std::int64_t n = 0; n < options_.buckets; ++n) {
     Bucket& bucket = buckets_[static_cast<std::size_t>(n)];
     if (bucket.takeover) {
-      Continue(n, now, out);
+      ContinueTakeover(n, now, out);
     } else {
-      Consider(n, now, out);
+      StartTakeoverIfNeeded(n, now, out);
     }
   }
   Announce(now, out);
 }
 
-// A takeover stops the bucket until it is through, so none is begun that
-// cannot come through now.
-void ClaimKeeper::Consider(std::int64_t index, TimePoint now, Outbox& out) {
+// The bucket is unavailable during a takeover, so a takeover is not started
+// while it cannot complete.
+void ClaimKeeper::StartTakeoverIfNeeded(std::int64_t index,
+                                        TimePoint now,
+                                        Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(index)];
-  if (!counted_.owns || now < bucket.next_try || !EveryoneReachable()) {
+  if (!counted_.owns || now < bucket.next_attempt || !AllCountedReachable()) {
     return;
   }
-  const Pair wanted = Wanted(index);
-  if (wanted.first != self_) {
+  const ReplicaPair wanted = DesiredReplicas(index);
+  if (wanted.primary != self_) {
     return;
   }
-  const bool kept = bucket.kept && bucket.kept->first == wanted.first &&
-                    bucket.kept->second == wanted.second &&
-                    KeepsUnder(bucket, bucket.kept->ballot);
-  // A second keeper that started anew has forgotten the bucket.
+  const bool held = bucket.held && bucket.held->primary == wanted.primary &&
+                    bucket.held->secondary == wanted.secondary &&
+                    IsActiveUnder(bucket, bucket.held->ballot);
+  // A secondary replica that has restarted has lost the records.
   const bool same_process =
-      wanted.second == self_ ||
+      wanted.secondary == self_ ||
       std::any_of(counted_.others.begin(), counted_.others.end(),
                   [&](const CountedHost& it) {
-                    return it.host == wanted.second &&
-                           it.incarnation == bucket.second_incarnation;
+                    return it.host == wanted.secondary &&
+                           it.incarnation == bucket.secondary_incarnation;
                   });
-  if (!kept || !same_process) {
-    Begin(index, now, out);
+  if (!held || !same_process) {
+    BeginTakeover(index, now, out);
   }
 }
 
-void ClaimKeeper::Begin(std::int64_t index, TimePoint now, Outbox& out) {
+void ClaimKeeper::BeginTakeover(std::int64_t index,
+                                TimePoint now,
+                                Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(index)];
   Takeover takeover;
   const auto highest =
       std::max(bucket.promised.counter, bucket.highest_counter);
   takeover.ballot = {highest + 1, self_, incarnation_};
-  takeover.began_at = now;
+  takeover.started_at = now;
   bucket.takeover = std::move(takeover);
-  Continue(index, now, out);
+  ContinueTakeover(index, now, out);
 }
 
-void ClaimKeeper::Continue(std::int64_t index, TimePoint now, Outbox& out) {
+void ClaimKeeper::ContinueTakeover(std::int64_t index,
+                                   TimePoint now,
+                                   Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(index)];
   Takeover& takeover = *bucket.takeover;
-  if (now - takeover.began_at > kTakeoverTimeout) {
-    GiveUp(bucket, now);
+  if (now - takeover.started_at > kTakeoverTimeout) {
+    AbortTakeover(bucket, now);
     return;
   }
   if (!takeover.install) {
-    FinishAsking(index, now, out);
+    InstallIfAllReplied(index, now, out);
   }
-  if (!bucket.takeover || now < takeover.sent_at + options_.repeat) {
+  if (!bucket.takeover || now < takeover.sent_at + options_.resend_interval) {
     return;
   }
   takeover.sent_at = now;
   if (takeover.install) {
-    out.Send(takeover.install->keepers.second, *takeover.install);
+    out.Send(takeover.install->replicas.secondary, *takeover.install);
     return;
   }
   const TakeoverAsk ask{index, takeover.ballot};
   out.Send(self_, ask);
   for (const CountedHost& it : counted_.others) {
-    if (!takeover.heard.contains(it.host)) {
+    if (!takeover.replies.contains(it.host)) {
       out.Send(it.host, ask);
     }
   }
 }
 
-void ClaimKeeper::GiveUp(Bucket& bucket, TimePoint now) {
+void ClaimKeeper::AbortTakeover(Bucket& bucket, TimePoint now) {
   bucket.takeover.reset();
-  // Hosts with different views take turns instead of outbidding each other.
-  const auto stagger =
-      static_cast<std::int64_t>(Score(0, self_) % 8) * options_.repeat;
-  bucket.next_try = now + options_.repeat + stagger;
+  // The delay differs between hosts, so that hosts with different views do not
+  // keep interrupting each other's takeovers with higher ballots.
+  const auto host_delay =
+      static_cast<std::int64_t>(Score(0, self_) % 8) * options_.resend_interval;
+  bucket.next_attempt = now + options_.resend_interval + host_delay;
 }
 
 void ClaimKeeper::On(const Sender& sender,
@@ -225,18 +238,18 @@
     bucket.promised_before = bucket.promised;
     bucket.promised = ask.ballot;
   }
-  // An ask that comes again gets the same answer.
+  // A repeated request gets the same answer.
   const bool promises = bucket.promised == ask.ballot;
   answer.promised = promises ? bucket.promised_before : bucket.promised;
   if (promises) {
-    // From here on this host grants nothing under a lower ballot, so the
-    // records that go with the answer are complete.
-    if (bucket.kept) {
-      answer.accepted = bucket.kept->ballot;
+    // From now on this host grants nothing under a lower ballot, so the records
+    // in the answer are complete.
+    if (bucket.held) {
+      answer.accepted = bucket.held->ballot;
       answer.records = bucket.records.Export(kHandoverAnswerBytes, now);
     }
     if (bucket.takeover && bucket.takeover->ballot < ask.ballot) {
-      GiveUp(bucket, now);
+      AbortTakeover(bucket, now);
     }
   }
   out.Send(sender.host, std::move(answer));
@@ -248,12 +261,12 @@
                      Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(answer.bucket)];
   const bool withdrawn =
-      !bucket.takeover && bucket.kept && bucket.kept->first == self_ &&
-      bucket.kept->ballot == answer.ballot && answer.ballot < answer.promised;
+      !bucket.takeover && bucket.held && bucket.held->primary == self_ &&
+      bucket.held->ballot == answer.ballot && answer.ballot < answer.promised;
   if (withdrawn) {
-    // Another host asked the second keeper for a takeover that never came
-    // through; unless the bucket is taken over again it stays refused.
-    bucket.second_incarnation = 0;
+    // The secondary replica has promised a takeover by another host that never
+    // completed. It refuses claims until the bucket is taken over again.
+    bucket.secondary_incarnation = 0;
     bucket.highest_counter =
         std::max(bucket.highest_counter, answer.promised.counter);
     return;
@@ -265,49 +278,53 @@
   if (answer.ballot < answer.promised) {
     bucket.highest_counter =
         std::max(bucket.highest_counter, answer.promised.counter);
-    GiveUp(bucket, now);
+    AbortTakeover(bucket, now);
     return;
   }
-  bucket.takeover->heard.insert_or_assign(sender.host,
-                                          Heard{sender.incarnation, answer});
-  FinishAsking(answer.bucket, now, out);
+  bucket.takeover->replies.insert_or_assign(
+      sender.host, ReceivedReply{sender.incarnation, answer});
+  InstallIfAllReplied(answer.bucket, now, out);
 }
 
-// Once every host that may keep the bucket has promised, the records under the
-// highest ballot are all that was ever granted and not lost.
-void ClaimKeeper::FinishAsking(std::int64_t index, TimePoint now, Outbox& out) {
+// Once every host that may be a replica has promised, the records under the
+// highest ballot include every claim that was granted and not lost.
+void ClaimKeeper::InstallIfAllReplied(std::int64_t index,
+                                      TimePoint now,
+                                      Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(index)];
   Takeover& takeover = *bucket.takeover;
   for (const CountedHost& it : counted_.others) {
-    const auto heard = takeover.heard.find(it.host);
-    if (heard == takeover.heard.end() ||
-        heard->second.incarnation != it.incarnation) {
+    const auto replies = takeover.replies.find(it.host);
+    if (replies == takeover.replies.end() ||
+        replies->second.incarnation != it.incarnation) {
       return;
     }
   }
-  const auto own = takeover.heard.find(self_);
-  const Pair wanted = Wanted(index);
-  if (own == takeover.heard.end() || wanted.first != self_) {
+  const auto own = takeover.replies.find(self_);
+  const ReplicaPair wanted = DesiredReplicas(index);
+  if (own == takeover.replies.end() || wanted.primary != self_) {
     return;
   }
-  const auto second = takeover.heard.find(wanted.second);
-  const bool known_second =
-      second != takeover.heard.end() && second->second.answer.counted;
-  // Later takeovers must ask the second keeper, so all must count it. One that
-  // has just started is asked again until it owns: with its first answer alone
-  // the bucket would stay refused until this takeover times out, and a host
-  // that leaves meanwhile would end without having handed it over.
-  if (!known_second) {
-    takeover.heard.erase(wanted.second);
+  const auto secondary = takeover.replies.find(wanted.secondary);
+  const bool secondary_may_store =
+      secondary != takeover.replies.end() && secondary->second.answer.counted;
+  // Later takeovers must ask the secondary replica, so every host must count
+  // it. A host that has just started is asked again until it owns a share of
+  // the limits. If its first answer were final, the bucket would be unavailable
+  // until this takeover times out, and a host that stops meanwhile would end
+  // without having handed over the bucket.
+  if (!secondary_may_store) {
+    takeover.replies.erase(wanted.secondary);
     return;
   }
   ClaimBallot accepted;
-  for (const auto& [host, heard] : takeover.heard) {
-    accepted = std::max(accepted, heard.answer.accepted);
+  for (const auto& [host, replies] : takeover.replies) {
+    accepted = std::max(accepted, replies.answer.accepted);
   }
-  // Nobody keeps what the highest known ballot may have granted: both keepers
-  // are lost, or this is the first start. A call that was granted then may
-  // still run, and its caller repeat it; waiting is all that is left.
+  // No host has the records of the highest known ballot: both replicas are
+  // lost, or this is the first start of the fleet. A call granted under that
+  // ballot may still run and be repeated by its caller, so the takeover waits
+  // for the quarantine time before it starts with the records that there are.
   if (MayBeLost(takeover, accepted)) {
     bucket.lost_since = bucket.lost_since.value_or(now);
     if (now - *bucket.lost_since < options_.quarantine) {
@@ -316,34 +333,34 @@
   }
   bucket.lost_since.reset();
   std::vector<std::vector<ClaimRecord>> records;
-  for (const auto& [host, heard] : takeover.heard) {
-    if (heard.answer.accepted == accepted) {
-      records.push_back(heard.answer.records);
+  for (const auto& [host, replies] : takeover.replies) {
+    if (replies.answer.accepted == accepted) {
+      records.push_back(replies.answer.records);
     }
   }
   KeeperInstall install;
-  install.keepers = {index, takeover.ballot, self_, wanted.second};
+  install.replicas = {index, takeover.ballot, self_, wanted.secondary};
   install.records = MergeClaimRecords(records);
-  bucket.second_incarnation = second->second.incarnation;
+  bucket.secondary_incarnation = secondary->second.incarnation;
   takeover.install = std::move(install);
   takeover.sent_at = TimePoint();
-  if (wanted.second == self_) {
-    Complete(index, now, out);
+  if (wanted.secondary == self_) {
+    CompleteTakeover(index, now, out);
   }
 }
 
-// Whether a ballot above `accepted` may have granted claims. One whose own
-// host answers with a lower one never came through.
+// A higher ballot whose own host still answers with a lower accepted one never
+// completed, so it granted nothing.
 bool ClaimKeeper::MayBeLost(const Takeover& takeover,
                             const ClaimBallot& accepted) const {
   if (accepted.counter == 0) {
     return true;
   }
   return std::any_of(
-      takeover.heard.begin(), takeover.heard.end(), [&](const auto& it) {
+      takeover.replies.begin(), takeover.replies.end(), [&](const auto& it) {
         const ClaimBallot& promised = it.second.answer.promised;
-        const auto host = takeover.heard.find(promised.host);
-        const bool answers = host != takeover.heard.end() &&
+        const auto host = takeover.replies.find(promised.host);
+        const bool answers = host != takeover.replies.end() &&
                              host->second.incarnation == promised.incarnation;
         return accepted < promised && !answers;
       });
@@ -353,20 +370,21 @@
                      const KeeperInstall& install,
                      TimePoint now,
                      Outbox& out) {
-  const ClaimKeepers& keepers = install.keepers;
-  Bucket& bucket = buckets_[static_cast<std::size_t>(keepers.bucket)];
-  // An equal promise is of this takeover: the ballot names its host. A process
-  // that started after it was asked has promised nothing and is left out.
-  if (bucket.promised != keepers.ballot) {
+  const ClaimKeepers& replicas = install.replicas;
+  Bucket& bucket = buckets_[static_cast<std::size_t>(replicas.bucket)];
+  // An equal ballot belongs to this takeover, as ballots include their host. A
+  // process that restarted after it was asked has promised nothing, so it must
+  // not become a replica.
+  if (bucket.promised != replicas.ballot) {
     return;
   }
-  const bool repeated = bucket.kept && bucket.kept->ballot == keepers.ballot;
+  const bool repeated = bucket.held && bucket.held->ballot == replicas.ballot;
   if (!repeated) {
-    bucket.kept = keepers;
+    bucket.held = replicas;
     bucket.records.Replace(install.records, now);
-    LearnKeepers(keepers);
+    LearnKeepers(replicas);
   }
-  out.Send(sender.host, KeeperInstalled{keepers.bucket, keepers.ballot});
+  out.Send(sender.host, KeeperInstalled{replicas.bucket, replicas.ballot});
 }
 
 void ClaimKeeper::On(const Sender& sender,
@@ -374,93 +392,100 @@
                      TimePoint now,
                      Outbox& out) {
   const Bucket& bucket = buckets_[static_cast<std::size_t>(installed.bucket)];
-  const bool ours = bucket.takeover && bucket.takeover->install &&
-                    bucket.takeover->ballot == installed.ballot &&
-                    sender.host == bucket.takeover->install->keepers.second &&
-                    sender.incarnation == bucket.second_incarnation;
-  if (ours) {
-    Complete(installed.bucket, now, out);
+  const bool is_expected =
+      bucket.takeover && bucket.takeover->install &&
+      bucket.takeover->ballot == installed.ballot &&
+      sender.host == bucket.takeover->install->replicas.secondary &&
+      sender.incarnation == bucket.secondary_incarnation;
+  if (is_expected) {
+    CompleteTakeover(installed.bucket, now, out);
   }
 }
 
-void ClaimKeeper::Complete(std::int64_t index, TimePoint now, Outbox& out) {
+void ClaimKeeper::CompleteTakeover(std::int64_t index,
+                                   TimePoint now,
+                                   Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(index)];
   const KeeperInstall install = *bucket.takeover->install;
   bucket.takeover.reset();
-  if (bucket.promised != install.keepers.ballot) {
+  if (bucket.promised != install.replicas.ballot) {
     return;
   }
-  bucket.kept = install.keepers;
+  bucket.held = install.replicas;
   bucket.records.Replace(install.records, now);
-  LearnKeepers(install.keepers);
+  LearnKeepers(install.replicas);
   for (const PeerView& it : view_.peers) {
-    out.Send(it.id, install.keepers);
+    out.Send(it.id, install.replicas);
   }
 }
 
-// Tells a host that has just come into reach of every bucket kept here.
+// Announces the buckets of which this host is the primary replica to hosts that
+// have just become reachable.
 void ClaimKeeper::Announce(TimePoint /*now*/, Outbox& out) {
   for (const PeerView& it : view_.peers) {
-    const auto told = told_.find(it.id);
-    const bool known = told != told_.end() && told->second == it.incarnation;
+    const auto notice = announced_to_.find(it.id);
+    const bool known =
+        notice != announced_to_.end() && notice->second == it.incarnation;
     if (!it.reachable) {
-      told_.erase(it.id);
+      announced_to_.erase(it.id);
     }
     if (!it.reachable || known) {
       continue;
     }
-    told_.insert_or_assign(it.id, it.incarnation);
+    announced_to_.insert_or_assign(it.id, it.incarnation);
     for (const Bucket& bucket : buckets_) {
-      if (bucket.kept && bucket.kept->first == self_) {
-        out.Send(it.id, *bucket.kept);
+      if (bucket.held && bucket.held->primary == self_) {
+        out.Send(it.id, *bucket.held);
       }
     }
   }
 }
 
 void ClaimKeeper::On(const Sender& /*sender*/,
-                     const ClaimKeepers& keepers,
+                     const ClaimKeepers& replicas,
                      TimePoint /*now*/,
                      Outbox& /*out*/) {
-  LearnKeepers(keepers);
-  Bucket& bucket = buckets_[static_cast<std::size_t>(keepers.bucket)];
-  const bool other = bucket.kept && bucket.kept->ballot < keepers.ballot;
-  // Its records went over with the promise; nobody asks for them again.
-  if (other && keepers.first != self_ && keepers.second != self_) {
-    bucket.promised = std::max(bucket.promised, keepers.ballot);
-    bucket.kept.reset();
+  LearnKeepers(replicas);
+  Bucket& bucket = buckets_[static_cast<std::size_t>(replicas.bucket)];
+  const bool other = bucket.held && bucket.held->ballot < replicas.ballot;
+  // The records were handed over with the promise, so they are not needed here
+  // any more.
+  if (other && replicas.primary != self_ && replicas.secondary != self_) {
+    bucket.promised = std::max(bucket.promised, replicas.ballot);
+    bucket.held.reset();
     bucket.records.Clear();
   }
 }
 
-ClaimAnswer ClaimKeeper::Decide(Bucket& bucket, const ClaimAsk& ask) {
-  const ClaimRecord& wish = ask.wish;
+ClaimAnswer ClaimKeeper::DecideGrant(Bucket& bucket, const ClaimAsk& ask) {
+  const ClaimRecord& request = ask.request;
   ClaimAnswer answer;
   answer.bucket = ask.bucket;
   answer.ballot = ask.ballot;
-  answer.customer = wish.customer;
-  answer.key = wish.key;
-  answer.claim = wish.claim;
-  if (!KeepsUnder(bucket, ask.ballot)) {
-    answer.keepers = bucket.known;
+  answer.customer = request.customer;
+  answer.key = request.key;
+  answer.claim = request.claim;
+  if (!IsActiveUnder(bucket, ask.ballot)) {
+    answer.replicas = bucket.known;
     return answer;
   }
-  const ClaimRecord* record = bucket.records.Find(wish.customer, wish.key);
+  const ClaimRecord* record =
+      bucket.records.Find(request.customer, request.key);
   if (record == nullptr) {
     if (usage_.records < options_.most_records) {
-      bucket.records.Grant(wish);
+      bucket.records.Grant(request);
       answer.verdict = ClaimVerdict::kGranted;
     }
     return answer;
   }
-  if (record->request_digest != wish.request_digest) {
+  if (record->request_digest != request.request_digest) {
     answer.verdict = ClaimVerdict::kMismatch;
   } else if (record->ended) {
     answer.verdict = ClaimVerdict::kAlreadyRan;
     answer.answer = record->answer;
   } else {
-    answer.verdict = record->claim == wish.claim ? ClaimVerdict::kGranted
-                                                 : ClaimVerdict::kInProgress;
+    answer.verdict = record->claim == request.claim ? ClaimVerdict::kGranted
+                                                    : ClaimVerdict::kInProgress;
   }
   return answer;
 }
@@ -470,15 +495,15 @@
                      TimePoint /*now*/,
                      Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(ask.bucket)];
-  out.Send(sender.host, Decide(bucket, ask));
-  const bool withdrew = bucket.kept && bucket.kept->ballot == ask.ballot &&
+  out.Send(sender.host, DecideGrant(bucket, ask));
+  const bool withdrew = bucket.held && bucket.held->ballot == ask.ballot &&
                         ask.ballot < bucket.promised;
-  if (withdrew && bucket.kept->first != self_) {
-    TakeoverAnswer told;
-    told.bucket = ask.bucket;
-    told.ballot = ask.ballot;
-    told.promised = bucket.promised;
-    out.Send(bucket.kept->first, std::move(told));
+  if (withdrew && bucket.held->primary != self_) {
+    TakeoverAnswer notice;
+    notice.bucket = ask.bucket;
+    notice.ballot = ask.ballot;
+    notice.promised = bucket.promised;
+    out.Send(bucket.held->primary, std::move(notice));
   }
 }
 
@@ -488,20 +513,21 @@
                      Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(settle.bucket)];
   ClaimSettled settled{settle.ballot, settle.record.claim, false, {}};
-  // After a promise the records have gone over; an end that came now would be
-  // acknowledged and lost.
-  if (!KeepsUnder(bucket, settle.ballot)) {
+  // After a promise the records have been handed over. An end stored here now
+  // would be acknowledged and lost.
+  if (!IsActiveUnder(bucket, settle.ballot)) {
     settled.refused = true;
-    settled.keepers = bucket.known;
+    settled.replicas = bucket.known;
     out.Send(sender.host, std::move(settled));
     return;
   }
   if (settle.record.ended) {
     const std::size_t size =
         settle.record.answer ? settle.record.answer->body.size() : 0;
-    const bool room = size <= options_.largest_answer &&
-                      usage_.answer_bytes + size <= options_.answer_bytes;
-    bucket.records.End(settle.record, room, now);
+    const bool keep_answer =
+        size <= options_.largest_answer &&
+        usage_.answer_bytes + size <= options_.max_total_answer_bytes;
+    bucket.records.End(settle.record, keep_answer, now);
   } else {
     bucket.records.Release(settle.record);
   }
@@ -513,12 +539,12 @@
   status.usage = usage_;
   for (const Bucket& it : buckets_) {
     status.taking_over += it.takeover ? 1 : 0;
-    status.holds += it.kept ? 1 : 0;
-    if (!it.kept || !KeepsUnder(it, it.kept->ballot)) {
+    status.holds += it.held ? 1 : 0;
+    if (!it.held || !IsActiveUnder(it, it.held->ballot)) {
       continue;
     }
-    status.first_of += it.kept->first == self_ ? 1 : 0;
-    status.second_of += it.kept->first != self_ ? 1 : 0;
+    status.first_of += it.held->primary == self_ ? 1 : 0;
+    status.second_of += it.held->primary != self_ ? 1 : 0;
   }
   return status;
 }
--- a/fleet/claim_keeper.h
+++ b/fleet/claim_keeper.h
@@ -14,23 +14,26 @@
 
 namespace damasktack {
 
+// State of the claims stored on one host, for operators.
 struct ClaimKeeperStatus {
-  // Buckets that this host keeps as first and as second keeper.
+  // Number of buckets with this host as primary and as secondary replica.
   std::int64_t first_of = 0;
   std::int64_t second_of = 0;
-  // Buckets whose records this host has, also those that it has given up for a
-  // takeover: until that one is through this may be the only copy.
+  // Number of buckets whose records this host stores. Includes buckets promised
+  // to a takeover that has not completed, as these records may be the only copy
+  // until then.
   std::int64_t holds = 0;
-  // Buckets that this host tries to take over.
+  // Number of buckets that this host is taking over.
   std::int64_t taking_over = 0;
   ClaimUsage usage;
 };
 
-// One host's part in keeping claims. A bucket has two keepers under a ballot;
-// a claim needs the grants of both. A host that should be the first keeper
-// takes the bucket over once every host it counts has promised to follow no
-// lower ballot, and so has given the bucket up, and has handed its records
-// over. docs/notes/claims.md has the argument. Pure.
+// Stores claims on one host, as a replica of some buckets. A bucket has two
+// replicas under a ballot, and a claim needs the grants of both. The host that
+// should be the primary replica takes over the bucket: it asks every host that
+// it counts to promise not to serve the bucket under a lower ballot and to hand
+// over its records, and completes once all have done so. docs/notes/claims.md
+// gives the proof. Does no I/O: reads no clock and sends through an Outbox.
 class ClaimKeeper {
  public:
   ClaimKeeper(HostId self, Incarnation incarnation, ClaimOptions options);
@@ -56,7 +59,7 @@
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
-          const ClaimKeepers& keepers,
+          const ClaimKeepers& replicas,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
@@ -68,83 +71,92 @@
           TimePoint now,
           Outbox& out);
 
-  // Whom to ask about a bucket that no keepers are known of.
+  // Returns the host to ask about a bucket whose replicas are not known.
   HostId LikelyKeeper(std::int64_t bucket) const {
-    return Wanted(bucket).first;
+    return DesiredReplicas(bucket).primary;
   }
-  // The keepers with the highest ballot that this host has heard of.
+  // Returns the replicas of a bucket with the highest ballot known to this
+  // host.
   const std::optional<ClaimKeepers>& KnownKeepers(std::int64_t bucket) const;
-  void LearnKeepers(const ClaimKeepers& keepers);
-  // Under which ballot this host holds records of a bucket, if any.
+  // Takes note of replicas, if their ballot is higher than the one known.
+  void LearnKeepers(const ClaimKeepers& replicas);
+  // Returns the ballot under which this host stores records of a bucket, if
+  // any.
   std::optional<ClaimBallot> HeldUnder(std::int64_t bucket) const;
   ClaimKeeperStatus Status() const;
 
  private:
-  struct Heard {
+  struct ReceivedReply {
     Incarnation incarnation = 0;
     TakeoverAnswer answer;
   };
   struct Takeover {
     ClaimBallot ballot;
     TimePoint sent_at;
-    TimePoint began_at;
-    std::map<HostId, Heard> heard;
-    // Set once the records are complete and go to the second keeper.
+    TimePoint started_at;
+    std::map<HostId, ReceivedReply> replies;
+    // Set once the records are complete and are sent to the secondary replica.
     std::optional<KeeperInstall> install;
   };
   struct Bucket {
     explicit Bucket(ClaimUsage& usage) : records(usage) {}
 
+    // The highest ballot that this host has promised.
     ClaimBallot promised;
-    // The promise before that one.
+    // The ballot promised before `promised`.
     ClaimBallot promised_before;
-    // The highest counter that any host has told of.
+    // The highest ballot counter that any host has reported.
     std::uint64_t highest_counter = 0;
-    // Since when nobody was found who could hand the bucket over.
+    // Start of the time in which no host was found that could hand over the
+    // bucket's records.
     std::optional<TimePoint> lost_since;
-    // The process that was made second keeper by this host.
-    Incarnation second_incarnation = 0;
-    // Kept under this; grants are given only while nothing higher is promised.
-    std::optional<ClaimKeepers> kept;
+    // The process that this host made the secondary replica.
+    Incarnation secondary_incarnation = 0;
+    // The replicas under the ballot of `records`. Claims are granted only while
+    // no higher ballot is promised.
+    std::optional<ClaimKeepers> held;
     std::optional<ClaimKeepers> known;
     ClaimRecords records;
     std::optional<Takeover> takeover;
-    TimePoint next_try;
+    TimePoint next_attempt;
   };
-  // The two hosts that should keep a bucket, as this host sees the fleet.
-  struct Pair {
-    HostId first;
-    HostId second;
+  // The two hosts that should be the replicas of a bucket, by this host's view.
+  struct ReplicaPair {
+    HostId primary;
+    HostId secondary;
   };
 
-  Pair Wanted(std::int64_t bucket) const;
-  void FindCandidates();
-  bool EveryoneReachable() const;
-  bool KeepsUnder(const Bucket& bucket, const ClaimBallot& ballot) const;
-  void Consider(std::int64_t index, TimePoint now, Outbox& out);
-  void Begin(std::int64_t index, TimePoint now, Outbox& out);
-  void Continue(std::int64_t index, TimePoint now, Outbox& out);
-  void FinishAsking(std::int64_t index, TimePoint now, Outbox& out);
-  void Complete(std::int64_t index, TimePoint now, Outbox& out);
+  ReplicaPair DesiredReplicas(std::int64_t bucket) const;
+  void UpdateCandidates();
+  bool AllCountedReachable() const;
+  // Whether this host is a replica under the ballot and has promised no higher
+  // one.
+  bool IsActiveUnder(const Bucket& bucket, const ClaimBallot& ballot) const;
+  void StartTakeoverIfNeeded(std::int64_t index, TimePoint now, Outbox& out);
+  void BeginTakeover(std::int64_t index, TimePoint now, Outbox& out);
+  void ContinueTakeover(std::int64_t index, TimePoint now, Outbox& out);
+  void InstallIfAllReplied(std::int64_t index, TimePoint now, Outbox& out);
+  void CompleteTakeover(std::int64_t index, TimePoint now, Outbox& out);
+  // Whether a ballot above `accepted` may have granted claims.
   bool MayBeLost(const Takeover& takeover, const ClaimBallot& accepted) const;
-  void GiveUp(Bucket& bucket, TimePoint now);
+  void AbortTakeover(Bucket& bucket, TimePoint now);
   void Announce(TimePoint now, Outbox& out);
-  ClaimAnswer Decide(Bucket& bucket, const ClaimAsk& ask);
+  ClaimAnswer DecideGrant(Bucket& bucket, const ClaimAsk& ask);
 
   const HostId self_;
   const Incarnation incarnation_;
   const ClaimOptions options_;
   HostView view_;
   CountedFleet counted_;
-  // Every host that may keep claims, this one included.
+  // The hosts that may be replicas, this one included.
   std::vector<PeerView> candidates_;
   ClaimUsage usage_;
   std::vector<Bucket> buckets_;
-  // Reachable peers that have been told of this host's buckets.
-  std::map<HostId, Incarnation> told_;
+  // Reachable peers to which this host has announced its buckets.
+  std::map<HostId, Incarnation> announced_to_;
   TimePoint next_round_;
-  // The bucket whose old records are looked for next.
-  std::size_t next_sweep_ = 0;
+  // The bucket whose expired records are removed next.
+  std::size_t next_expiry_bucket_ = 0;
 };
 
 }  // namespace damasktack
--- a/fleet/claim_messages.cc
+++ b/fleet/claim_messages.cc
@@ -23,7 +23,7 @@
   reader.Read("bucket", out, 0, kClaimBuckets - 1);
 }
 
-// Reads a member that has a Parse of its own.
+// Reads an object by its own Parse function.
 template <typename Item>
 void ReadItem(JsonReader& reader, std::string_view key, Item& out) {
   if (const Json* json = reader.Object(key)) {
@@ -45,7 +45,8 @@
   }
 }
 
-// Bodies are bytes of any kind; CBOR text would have to be UTF-8.
+// The body is encoded as binary, as it may hold any bytes and CBOR text must be
+// UTF-8.
 Json AnswerToJson(const KeptAnswer& answer) {
   const std::vector<std::uint8_t> body(answer.body.begin(), answer.body.end());
   Json json{{"status", answer.status}, {"body", Json::binary(body)}};
@@ -67,7 +68,8 @@
   nested.ReadOptional("content_type", answer.content_type);
   const auto body = json->find("body");
   if (body == json->end() || !body->is_binary()) {
-    nested.Refuse(ErrorKind::kWrongType, "body", "no bytes", "send bytes");
+    nested.Refuse(ErrorKind::kWrongType, "body", "not a byte string",
+                  "send the body as a byte string");
   } else {
     const auto& bytes = body->get_binary();
     answer.body.assign(bytes.begin(), bytes.end());
@@ -82,7 +84,8 @@
 
 Json ClaimBallot::ToJson() const {
   Json json{{"counter", counter}, {"incarnation", incarnation}};
-  // No ballot has no host, and an empty text is refused.
+  // The host is left out of a ballot with counter 0, as an empty id would be
+  // refused by the reader.
   if (!host.empty()) {
     json["host"] = host.text();
   }
@@ -105,8 +108,8 @@
 Json ClaimKeepers::ToJson() const {
   return Json{{"bucket", bucket},
               {"ballot", ballot.ToJson()},
-              {"first", first.text()},
-              {"second", second.text()}};
+              {"first", primary.text()},
+              {"second", secondary.text()}};
 }
 
 leaf::result<ClaimKeepers> ClaimKeepers::Parse(const Json& json,
@@ -115,8 +118,8 @@
   JsonReader reader(json, path);
   ReadBucket(reader, message.bucket);
   ReadItem(reader, "ballot", message.ballot);
-  ReadId(reader, "first", message.first);
-  ReadId(reader, "second", message.second);
+  ReadId(reader, "first", message.primary);
+  ReadId(reader, "second", message.secondary);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   return message;
 }
@@ -189,7 +192,7 @@
 }
 
 Json KeeperInstall::ToJson() const {
-  return Json{{"keepers", keepers.ToJson()},
+  return Json{{"keepers", replicas.ToJson()},
               {"records", detail::ListToJson(records)}};
 }
 
@@ -197,7 +200,7 @@
                                                  const std::string& path) {
   KeeperInstall message;
   JsonReader reader(json, path);
-  ReadItem(reader, "keepers", message.keepers);
+  ReadItem(reader, "keepers", message.replicas);
   detail::ReadList(reader, "records", message.records);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   return message;
@@ -218,8 +221,9 @@
 }
 
 Json ClaimAsk::ToJson() const {
-  return Json{
-      {"bucket", bucket}, {"ballot", ballot.ToJson()}, {"wish", wish.ToJson()}};
+  return Json{{"bucket", bucket},
+              {"ballot", ballot.ToJson()},
+              {"wish", request.ToJson()}};
 }
 
 leaf::result<ClaimAsk> ClaimAsk::Parse(const Json& json,
@@ -228,7 +232,7 @@
   JsonReader reader(json, path);
   ReadBucket(reader, message.bucket);
   ReadItem(reader, "ballot", message.ballot);
-  ReadItem(reader, "wish", message.wish);
+  ReadItem(reader, "wish", message.request);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   return message;
 }
@@ -243,8 +247,8 @@
   if (answer) {
     json["answer"] = AnswerToJson(*answer);
   }
-  if (keepers) {
-    json["keepers"] = keepers->ToJson();
+  if (replicas) {
+    json["keepers"] = replicas->ToJson();
   }
   return json;
 }
@@ -262,7 +266,7 @@
   reader.ReadChoice("verdict", {kVerdictNames.begin(), kVerdictNames.end()},
                     verdict);
   ReadAnswer(reader, message.answer);
-  ReadOptionalItem(reader, "keepers", message.keepers);
+  ReadOptionalItem(reader, "keepers", message.replicas);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   message.verdict = static_cast<ClaimVerdict>(verdict);
   return message;
@@ -288,8 +292,8 @@
 Json ClaimSettled::ToJson() const {
   Json json{
       {"ballot", ballot.ToJson()}, {"claim", claim}, {"refused", refused}};
-  if (keepers) {
-    json["keepers"] = keepers->ToJson();
+  if (replicas) {
+    json["keepers"] = replicas->ToJson();
   }
   return json;
 }
@@ -301,7 +305,7 @@
   ReadItem(reader, "ballot", message.ballot);
   reader.Read("claim", message.claim);
   reader.ReadOptional("refused", message.refused);
-  ReadOptionalItem(reader, "keepers", message.keepers);
+  ReadOptionalItem(reader, "keepers", message.replicas);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   return message;
 }
--- a/fleet/claim_messages.h
+++ b/fleet/claim_messages.h
@@ -15,12 +15,13 @@
 
 namespace damasktack {
 
-// Keys fall into this many buckets; each bucket has its own keepers.
+// Keys are hashed into this many buckets. Each bucket has its own replicas.
 inline constexpr std::int64_t kClaimBuckets = 256;
-// Longer keys are refused.
+// Claims on longer keys are refused.
 inline constexpr std::size_t kLongestClaimKey = 256;
 
-// Names one attempt to become the keeper of a bucket. Later ones are higher.
+// Identifies one attempt of a host to take over a bucket, as a ballot number in
+// Paxos. Later attempts have higher ballots.
 struct ClaimBallot {
   std::uint64_t counter = 0;
   HostId host;
@@ -33,14 +34,15 @@
   auto operator<=>(const ClaimBallot&) const = default;
 };
 
-// Who keeps a bucket under a ballot. `second` equals `first` on a host alone.
+// The replicas of a bucket under a ballot. `secondary` equals `primary` if
+// there is only one host.
 struct ClaimKeepers {
   static constexpr std::string_view kKind = "claim-keepers";
 
   std::int64_t bucket = 0;
   ClaimBallot ballot;
-  HostId first;
-  HostId second;
+  HostId primary;
+  HostId secondary;
 
   Json ToJson() const;
   static leaf::result<ClaimKeepers> Parse(const Json& json,
@@ -49,16 +51,16 @@
   bool operator==(const ClaimKeepers&) const = default;
 };
 
-// What a keeper remembers of one key.
+// The record of one key, as stored by a replica.
 struct ClaimRecord {
   CustomerId customer;
   std::string key;
   std::uint64_t request_digest = 0;
-  // Drawn by the claimant; names this claim.
+  // Identifies the claim. Chosen by the host that claims.
   std::uint64_t claim = 0;
-  // It ran, or may have run; it never runs again.
+  // The call ran or may have run, so it must not run again.
   bool ended = false;
-  // Since the end.
+  // Time since the claim ended.
   Duration age{};
   std::optional<KeptAnswer> answer;
 
@@ -69,7 +71,8 @@
   bool operator==(const ClaimRecord&) const = default;
 };
 
-// Asks a host to give the bucket up to `ballot`.
+// Asks a host to promise that it will not serve the bucket under any ballot
+// below `ballot`, and to hand over its records.
 struct TakeoverAsk {
   static constexpr std::string_view kKind = "claim-takeover-ask";
 
@@ -83,17 +86,21 @@
   bool operator==(const TakeoverAsk&) const = default;
 };
 
+// Answers a TakeoverAsk.
 struct TakeoverAnswer {
   static constexpr std::string_view kKind = "claim-takeover-answer";
 
   std::int64_t bucket = 0;
-  // Of the ask.
+  // The ballot of the request.
   ClaimBallot ballot;
-  // The highest that the sender had promised before.
+  // The highest ballot that the sender had promised before. If it is above
+  // `ballot`, the takeover is refused.
   ClaimBallot promised;
-  // Under which the sender keeps `records`; counter 0 where it keeps none.
+  // The ballot under which the sender stored `records`; counter 0 if it has
+  // none.
   ClaimBallot accepted;
-  // Every host that may take a bucket over counts the sender.
+  // Every host that may take over a bucket counts the sender, so the sender may
+  // be a replica.
   bool counted = false;
   std::vector<ClaimRecord> records;
 
@@ -104,11 +111,11 @@
   bool operator==(const TakeoverAnswer&) const = default;
 };
 
-// Makes the receiver the second keeper.
+// Makes the receiver the secondary replica of a bucket, with these records.
 struct KeeperInstall {
   static constexpr std::string_view kKind = "claim-install";
 
-  ClaimKeepers keepers;
+  ClaimKeepers replicas;
   std::vector<ClaimRecord> records;
 
   Json ToJson() const;
@@ -118,6 +125,7 @@
   bool operator==(const KeeperInstall&) const = default;
 };
 
+// Acknowledges a KeeperInstall.
 struct KeeperInstalled {
   static constexpr std::string_view kKind = "claim-installed";
 
@@ -131,14 +139,14 @@
   bool operator==(const KeeperInstalled&) const = default;
 };
 
-// Asks one keeper for its grant under `ballot`.
+// Asks one replica to grant a claim under `ballot`.
 struct ClaimAsk {
   static constexpr std::string_view kKind = "claim-ask";
 
   std::int64_t bucket = 0;
   ClaimBallot ballot;
-  // customer, key, digest and claim count; the rest does not.
-  ClaimRecord wish;
+  // Only customer, key, request_digest and claim are used.
+  ClaimRecord request;
 
   Json ToJson() const;
   static leaf::result<ClaimAsk> Parse(const Json& json,
@@ -147,6 +155,7 @@
   bool operator==(const ClaimAsk&) const = default;
 };
 
+// Answers a ClaimAsk.
 struct ClaimAnswer {
   static constexpr std::string_view kKind = "claim-answer";
 
@@ -157,8 +166,8 @@
   std::uint64_t claim = 0;
   ClaimVerdict verdict = ClaimVerdict::kUnavailable;
   std::optional<KeptAnswer> answer;
-  // Where the verdict is kUnavailable: the keepers that the sender knows of.
-  std::optional<ClaimKeepers> keepers;
+  // If the verdict is kUnavailable: the replicas known to the sender.
+  std::optional<ClaimKeepers> replicas;
 
   Json ToJson() const;
   static leaf::result<ClaimAnswer> Parse(const Json& json,
@@ -167,13 +176,14 @@
   bool operator==(const ClaimAnswer&) const = default;
 };
 
-// Tells a keeper how a claim ended. Repeated until acknowledged by both.
+// Tells a replica how a claim ended. Sent again until both replicas have
+// acknowledged it.
 struct ClaimSettle {
   static constexpr std::string_view kKind = "claim-settle";
 
   std::int64_t bucket = 0;
   ClaimBallot ballot;
-  // With `ended` unset the call surely did not run and the key is free again.
+  // `ended` is false if the call did not run; the key is then free again.
   ClaimRecord record;
 
   Json ToJson() const;
@@ -183,14 +193,15 @@
   bool operator==(const ClaimSettle&) const = default;
 };
 
+// Answers a ClaimSettle.
 struct ClaimSettled {
   static constexpr std::string_view kKind = "claim-settled";
 
   ClaimBallot ballot;
   std::uint64_t claim = 0;
-  // The sender does not keep the bucket under that ballot.
+  // The sender is not a replica of the bucket under that ballot.
   bool refused = false;
-  std::optional<ClaimKeepers> keepers;
+  std::optional<ClaimKeepers> replicas;
 
   Json ToJson() const;
   static leaf::result<ClaimSettled> Parse(const Json& json,
--- a/fleet/claim_options.h
+++ b/fleet/claim_options.h
@@ -9,26 +9,30 @@
 
 namespace damasktack {
 
-// How claims are kept. Every host of a fleet is given the same.
+// Settings for the storage of claims. They must be the same on every host of a
+// fleet.
 struct ClaimOptions {
-  // Fewer only in tests; every host must have the same.
+  // Number of buckets in use. Only tests use fewer than kClaimBuckets.
   std::int64_t buckets = kClaimBuckets;
-  // How long a process runs before it takes a bucket that nobody can hand
-  // over for an empty one.
+  // How long a takeover waits before it starts a bucket without records, if no
+  // host can hand over the bucket's records.
   Duration quarantine = std::chrono::minutes(1);
-  // Ended claims are remembered for at least this long.
+  // Minimum time for which ended claims are stored.
   Duration retention = std::chrono::hours(24);
-  // Records on one host; new keys are refused beyond.
+  // Maximum number of records on one host. New keys beyond it are refused.
   std::int64_t most_records = 100'000;
-  // Larger answers are not kept: a repeat then hears that it ran, no more.
+  // Larger answers are not stored. A repeated call then learns only that the
+  // call ran.
   std::size_t largest_answer = 16'384;
-  // Answers kept on one host, in bytes; the rest are not kept.
-  std::size_t answer_bytes = 32'000'000;
-  // Between two sends of a message that was not answered.
-  Duration repeat = std::chrono::milliseconds(250);
-  // How long a claim may take, its deadline permitting.
+  // Total size of the answers stored on one host. Answers beyond it are not
+  // stored.
+  std::size_t max_total_answer_bytes = 32'000'000;
+  // Interval after which an unanswered message is sent again.
+  Duration resend_interval = std::chrono::milliseconds(250);
+  // Timeout of a claim. The deadline of the call may end it earlier.
   Duration longest_claim = std::chrono::seconds(2);
-  // Settlements that wait for their acknowledgements on one host.
+  // Maximum number of claims on one host that are pending, running, or waiting
+  // for the acknowledgement of their settlement.
   std::size_t most_unsettled = 100'000;
 };
 
--- a/fleet/claim_records.cc
+++ b/fleet/claim_records.cc
@@ -6,65 +6,65 @@
 
 const ClaimRecord* ClaimRecords::Find(const CustomerId& customer,
                                       const std::string& key) const {
-  const auto it = kept_.find({customer, key});
-  return it == kept_.end() ? nullptr : &it->second.record;
+  const auto it = entries_.find({customer, key});
+  return it == entries_.end() ? nullptr : &it->second.record;
 }
 
-void ClaimRecords::Count(const ClaimRecord& record, int sign) {
+void ClaimRecords::AddToUsage(const ClaimRecord& record, int sign) {
   usage_.records += sign;
   usage_.granted += record.ended ? 0 : sign;
   const std::size_t bytes = record.answer ? record.answer->body.size() : 0;
   usage_.answer_bytes += sign > 0 ? bytes : 0 - bytes;
 }
 
-void ClaimRecords::Grant(const ClaimRecord& wish) {
-  ClaimRecord record = wish;
+void ClaimRecords::Grant(const ClaimRecord& request) {
+  ClaimRecord record = request;
   record.ended = false;
   record.answer.reset();
-  const Key key{wish.customer, wish.key};
-  if (kept_.try_emplace(key, Kept{record, {}}).second) {
-    Count(record, 1);
+  const Key key{request.customer, request.key};
+  if (entries_.try_emplace(key, Entry{record, {}}).second) {
+    AddToUsage(record, 1);
   }
 }
 
 void ClaimRecords::End(const ClaimRecord& record,
                        bool keep_answer,
                        TimePoint now) {
-  Kept kept{record, now - record.age};
-  kept.record.ended = true;
+  Entry entry{record, now - record.age};
+  entry.record.ended = true;
   if (!keep_answer) {
-    kept.record.answer.reset();
+    entry.record.answer.reset();
   }
   const Key key{record.customer, record.key};
-  const auto it = kept_.find(key);
-  if (it != kept_.end()) {
+  const auto it = entries_.find(key);
+  if (it != entries_.end()) {
     if (it->second.record.claim != record.claim || it->second.record.ended) {
       return;
     }
-    Count(it->second.record, -1);
-    kept_.erase(it);
+    AddToUsage(it->second.record, -1);
+    entries_.erase(it);
   }
-  Count(kept.record, 1);
-  kept_.emplace(key, std::move(kept));
+  AddToUsage(entry.record, 1);
+  entries_.emplace(key, std::move(entry));
 }
 
 void ClaimRecords::Release(const ClaimRecord& record) {
-  const auto it = kept_.find({record.customer, record.key});
-  if (it == kept_.end() || it->second.record.claim != record.claim ||
+  const auto it = entries_.find({record.customer, record.key});
+  if (it == entries_.end() || it->second.record.claim != record.claim ||
       it->second.record.ended) {
     return;
   }
-  Count(it->second.record, -1);
-  kept_.erase(it);
+  AddToUsage(it->second.record, -1);
+  entries_.erase(it);
 }
 
 std::vector<ClaimRecord> ClaimRecords::Export(std::size_t answer_bytes,
                                               TimePoint now) const {
   std::vector<ClaimRecord> records;
-  records.reserve(kept_.size());
-  for (const auto& [key, kept] : kept_) {
-    ClaimRecord record = kept.record;
-    record.age = record.ended ? now - kept.ended_at : Duration{};
+  records.reserve(entries_.size());
+  for (const auto& [key, entry] : entries_) {
+    ClaimRecord record = entry.record;
+    record.age = record.ended ? now - entry.ended_at : Duration{};
     const std::size_t size = record.answer ? record.answer->body.size() : 0;
     if (size > answer_bytes) {
       record.answer.reset();
@@ -89,20 +89,20 @@
 }
 
 void ClaimRecords::Clear() {
-  for (const auto& [key, kept] : kept_) {
-    Count(kept.record, -1);
+  for (const auto& [key, entry] : entries_) {
+    AddToUsage(entry.record, -1);
   }
-  kept_.clear();
+  entries_.clear();
 }
 
-void ClaimRecords::Forget(TimePoint oldest) {
-  std::erase_if(kept_, [&](const auto& it) {
-    const Kept& kept = it.second;
-    const bool old = kept.record.ended && kept.ended_at < oldest;
-    if (old) {
-      Count(kept.record, -1);
+void ClaimRecords::RemoveEndedBefore(TimePoint oldest) {
+  std::erase_if(entries_, [&](const auto& it) {
+    const Entry& entry = it.second;
+    const bool is_old = entry.record.ended && entry.ended_at < oldest;
+    if (is_old) {
+      AddToUsage(entry.record, -1);
     }
-    return old;
+    return is_old;
   });
 }
 
--- a/fleet/claim_records.h
+++ b/fleet/claim_records.h
@@ -14,38 +14,40 @@
 
 namespace damasktack {
 
-// How much the records of all buckets of one host take together.
+// Size of the records of all buckets on one host.
 struct ClaimUsage {
   std::int64_t records = 0;
   std::int64_t granted = 0;
   std::size_t answer_bytes = 0;
 };
 
-// What one keeper remembers of one bucket's keys.
+// Stores the records of one bucket on one replica.
 class ClaimRecords {
  public:
   explicit ClaimRecords(ClaimUsage& usage) : usage_(usage) {}
 
+  // Null if there is no record of the key.
   const ClaimRecord* Find(const CustomerId& customer,
                           const std::string& key) const;
-  void Grant(const ClaimRecord& wish);
-  // Ends the claim, also where it is not known: the end is what must not be
-  // forgotten. Another claim on the key stays.
+  // Adds a claim that has not ended, unless the key has a record.
+  void Grant(const ClaimRecord& request);
+  // Marks the claim as ended. Adds it if it is unknown, so that the end of a
+  // claim is never lost. Does nothing if another claim holds the key.
   void End(const ClaimRecord& record, bool keep_answer, TimePoint now);
-  // Frees the key if this very claim holds it.
+  // Frees the key if this claim holds it and has not ended.
   void Release(const ClaimRecord& record);
 
-  // For a handover. Ends come with their ages; answers up to `answer_bytes`
-  // in all.
+  // Returns all records, for a handover to another host. Ended claims carry
+  // their ages. Answers are included up to `answer_bytes` in total.
   std::vector<ClaimRecord> Export(std::size_t answer_bytes,
                                   TimePoint now) const;
   void Replace(const std::vector<ClaimRecord>& records, TimePoint now);
   void Clear();
-  // Forgets what ended before `oldest`.
-  void Forget(TimePoint oldest);
+  // Removes the claims that ended before `oldest`.
+  void RemoveEndedBefore(TimePoint oldest);
 
  private:
-  struct Kept {
+  struct Entry {
     ClaimRecord record;
     TimePoint ended_at;
   };
@@ -56,14 +58,15 @@
     auto operator<=>(const Key&) const = default;
   };
 
-  void Count(const ClaimRecord& record, int sign);
+  // Adds the record to the usage, or subtracts it for a `sign` of -1.
+  void AddToUsage(const ClaimRecord& record, int sign);
 
   ClaimUsage& usage_;
-  std::map<Key, Kept> kept_;
+  std::map<Key, Entry> entries_;
 };
 
-// The records of both keepers of one configuration as one: a key that has
-// ended on either has ended, whatever the other knows of it.
+// Merges the records of the replicas of one ballot. A claim that has ended on
+// either replica has ended, whatever the other replica has stored.
 std::vector<ClaimRecord> MergeClaimRecords(
     const std::vector<std::vector<ClaimRecord>>& answers);
 
--- a/fleet/claim_router.cc
+++ b/fleet/claim_router.cc
@@ -27,11 +27,12 @@
 
 void ClaimRouter::Claim(const ClaimRequest& request,
                         Done done,
-                        ClaimKeeper& keepers,
+                        ClaimKeeper& replica,
                         TimePoint now,
                         Outbox& out) {
-  // Without room to remember settlements a claim could never be ended.
-  const bool full = unsettled_.size() + running_.size() + asking_.size() >=
+  // Every claim needs an entry for its settlement, so none is accepted without
+  // space for it.
+  const bool full = unsettled_.size() + running_.size() + pending_.size() >=
                     options_.most_unsettled;
   if (full || request.key.size() > kLongestClaimKey) {
     ++counters_.unavailable;
@@ -39,70 +40,72 @@
     return;
   }
   const std::uint64_t claim = next_claim_++;
-  Asking asking;
-  asking.wish.customer = request.customer;
-  asking.wish.key = request.key;
-  asking.wish.request_digest = request.request_digest;
-  asking.wish.claim = claim;
-  asking.bucket = BucketOf(request.customer, request.key, options_.buckets);
-  asking.done = std::move(done);
-  asking.until = std::min(request.deadline, now + options_.longest_claim);
-  const auto it = asking_.emplace(claim, std::move(asking)).first;
-  Send(it->second, keepers, now, out);
+  PendingClaim pending;
+  pending.request.customer = request.customer;
+  pending.request.key = request.key;
+  pending.request.request_digest = request.request_digest;
+  pending.request.claim = claim;
+  pending.bucket = BucketOf(request.customer, request.key, options_.buckets);
+  pending.done = std::move(done);
+  pending.expires_at = std::min(request.deadline, now + options_.longest_claim);
+  const auto it = pending_.emplace(claim, std::move(pending)).first;
+  Send(it->second, replica, now, out);
 }
 
-void ClaimRouter::Send(Asking& asking,
-                       ClaimKeeper& keepers,
+void ClaimRouter::Send(PendingClaim& pending,
+                       ClaimKeeper& replica,
                        TimePoint now,
                        Outbox& out) {
-  asking.sent_at = now;
-  const auto& known = keepers.KnownKeepers(asking.bucket);
+  pending.sent_at = now;
+  const auto& known = replica.KnownKeepers(pending.bucket);
   if (!known) {
-    const HostId likely = keepers.LikelyKeeper(asking.bucket);
+    const HostId likely = replica.LikelyKeeper(pending.bucket);
     if (!likely.empty()) {
-      out.Send(likely, ClaimAsk{asking.bucket, {}, asking.wish});
+      out.Send(likely, ClaimAsk{pending.bucket, {}, pending.request});
     }
     return;
   }
-  // Grants under two ballots prove nothing together: a takeover between them
-  // may have passed by both.
-  if (asking.first_granted && *asking.first_granted != known->ballot) {
-    asking.first_granted.reset();
+  // Grants under two different ballots are not sufficient together: a takeover
+  // between them may have missed both.
+  if (pending.primary_granted && *pending.primary_granted != known->ballot) {
+    pending.primary_granted.reset();
   }
-  const HostId& to = asking.first_granted ? known->second : known->first;
-  out.Send(to, ClaimAsk{asking.bucket, known->ballot, asking.wish});
+  const HostId& to =
+      pending.primary_granted ? known->secondary : known->primary;
+  out.Send(to, ClaimAsk{pending.bucket, known->ballot, pending.request});
 }
 
 void ClaimRouter::On(const Sender& sender,
                      const ClaimAnswer& answer,
-                     ClaimKeeper& keepers,
+                     ClaimKeeper& replica,
                      TimePoint now,
                      Outbox& out) {
-  if (answer.keepers) {
-    keepers.LearnKeepers(*answer.keepers);
+  if (answer.replicas) {
+    replica.LearnKeepers(*answer.replicas);
   }
-  const auto it = asking_.find(answer.claim);
-  if (it == asking_.end()) {
-    // A repeated ask that came late has claimed a key for nobody.
+  const auto it = pending_.find(answer.claim);
+  if (it == pending_.end()) {
+    // A repeated request that arrived late was granted after the claim had
+    // finished here, so the key must be released.
     const bool granted = answer.verdict == ClaimVerdict::kGranted;
     const auto ending = unsettled_.find(answer.claim);
     if (granted && ending != unsettled_.end()) {
-      ending->second.first_done = false;
-      ending->second.second_done = false;
+      ending->second.primary_done = false;
+      ending->second.secondary_done = false;
     } else if (granted && !running_.contains(answer.claim)) {
-      ClaimRecord wish;
-      wish.customer = answer.customer;
-      wish.key = answer.key;
-      wish.claim = answer.claim;
-      Release(wish, keepers, now, out);
+      ClaimRecord request;
+      request.customer = answer.customer;
+      request.key = answer.key;
+      request.claim = answer.claim;
+      Release(request, replica, now, out);
     }
     return;
   }
-  Asking& asking = it->second;
-  const auto& known = keepers.KnownKeepers(asking.bucket);
+  PendingClaim& pending = it->second;
+  const auto& known = replica.KnownKeepers(pending.bucket);
   if (!known || known->ballot != answer.ballot) {
-    if (answer.keepers && asking.sent_at < now) {
-      Send(asking, keepers, now, out);
+    if (answer.replicas && pending.sent_at < now) {
+      Send(pending, replica, now, out);
     }
     return;
   }
@@ -110,28 +113,29 @@
     return;
   }
   if (answer.verdict != ClaimVerdict::kGranted) {
-    const ClaimRecord wish = asking.wish;
+    const ClaimRecord request = pending.request;
     Finish(answer.claim, ClaimReply{answer.verdict, answer.answer, 0,
                                     std::chrono::seconds(1)});
-    Release(wish, keepers, now, out);
+    Release(request, replica, now, out);
     return;
   }
-  if (sender.host == known->first) {
-    asking.first_granted = answer.ballot;
+  if (sender.host == known->primary) {
+    pending.primary_granted = answer.ballot;
   }
-  if (sender.host == known->second && asking.first_granted == answer.ballot) {
-    running_.emplace(answer.claim, asking.bucket);
+  if (sender.host == known->secondary &&
+      pending.primary_granted == answer.ballot) {
+    running_.emplace(answer.claim, pending.bucket);
     Finish(answer.claim,
            ClaimReply{ClaimVerdict::kGranted, std::nullopt, answer.claim, {}});
     return;
   }
-  Send(asking, keepers, now, out);
+  Send(pending, replica, now, out);
 }
 
 void ClaimRouter::Finish(std::uint64_t claim, ClaimReply reply) {
-  const auto it = asking_.find(claim);
+  const auto it = pending_.find(claim);
   const Done done = std::move(it->second.done);
-  asking_.erase(it);
+  pending_.erase(it);
   switch (reply.verdict) {
     case ClaimVerdict::kGranted:
       ++counters_.granted;
@@ -152,20 +156,20 @@
   done(reply);
 }
 
-void ClaimRouter::Release(const ClaimRecord& wish,
-                          ClaimKeeper& keepers,
+void ClaimRouter::Release(const ClaimRecord& request,
+                          ClaimKeeper& replica,
                           TimePoint now,
                           Outbox& out) {
-  ClaimRecord record = wish;
+  ClaimRecord record = request;
   record.ended = false;
-  AddUnsettled(std::move(record), keepers, now, out);
+  AddUnsettled(std::move(record), replica, now, out);
 }
 
 void ClaimRouter::Settle(const ClaimRequest& request,
                          std::uint64_t claim,
                          Outcome outcome,
                          std::optional<KeptAnswer> answer,
-                         ClaimKeeper& keepers,
+                         ClaimKeeper& replica,
                          TimePoint now,
                          Outbox& out) {
   if (running_.erase(claim) == 0) {
@@ -182,11 +186,11 @@
   if (keeps) {
     record.answer = std::move(answer);
   }
-  AddUnsettled(std::move(record), keepers, now, out);
+  AddUnsettled(std::move(record), replica, now, out);
 }
 
 void ClaimRouter::AddUnsettled(ClaimRecord record,
-                               ClaimKeeper& keepers,
+                               ClaimKeeper& replica,
                                TimePoint now,
                                Outbox& out) {
   Unsettled unsettled;
@@ -196,78 +200,80 @@
   const std::uint64_t claim = unsettled.record.claim;
   const auto it =
       unsettled_.insert_or_assign(claim, std::move(unsettled)).first;
-  Send(it->second, keepers, now, out);
+  Send(it->second, replica, now, out);
 }
 
 void ClaimRouter::Send(Unsettled& unsettled,
-                       ClaimKeeper& keepers,
+                       ClaimKeeper& replica,
                        TimePoint now,
                        Outbox& out) {
   unsettled.sent_at = now;
-  const auto& known = keepers.KnownKeepers(unsettled.bucket);
+  const auto& known = replica.KnownKeepers(unsettled.bucket);
   if (!known) {
     return;
   }
   if (unsettled.ballot != known->ballot) {
     unsettled.ballot = known->ballot;
-    unsettled.first_done = false;
-    unsettled.second_done = known->second == known->first;
+    unsettled.primary_done = false;
+    unsettled.secondary_done = known->secondary == known->primary;
   }
   ClaimSettle settle{unsettled.bucket, unsettled.ballot, unsettled.record};
   settle.record.age = now - unsettled.ended_at;
-  if (!unsettled.first_done) {
-    out.Send(known->first, settle);
+  if (!unsettled.primary_done) {
+    out.Send(known->primary, settle);
   }
-  if (!unsettled.second_done) {
-    out.Send(known->second, settle);
+  if (!unsettled.secondary_done) {
+    out.Send(known->secondary, settle);
   }
 }
 
 void ClaimRouter::On(const Sender& sender,
                      const ClaimSettled& settled,
-                     ClaimKeeper& keepers,
+                     ClaimKeeper& replica,
                      TimePoint now,
                      Outbox& out) {
-  if (settled.keepers) {
-    keepers.LearnKeepers(*settled.keepers);
+  if (settled.replicas) {
+    replica.LearnKeepers(*settled.replicas);
   }
   const auto it = unsettled_.find(settled.claim);
   if (it == unsettled_.end()) {
     return;
   }
   Unsettled& unsettled = it->second;
-  const auto& known = keepers.KnownKeepers(unsettled.bucket);
+  const auto& known = replica.KnownKeepers(unsettled.bucket);
   if (settled.refused || !known || known->ballot != settled.ballot ||
       unsettled.ballot != settled.ballot) {
     if (known && unsettled.ballot != known->ballot) {
-      Send(unsettled, keepers, now, out);
+      Send(unsettled, replica, now, out);
     }
     return;
   }
-  unsettled.first_done = unsettled.first_done || sender.host == known->first;
-  unsettled.second_done = unsettled.second_done || sender.host == known->second;
-  if (unsettled.first_done && unsettled.second_done) {
+  unsettled.primary_done =
+      unsettled.primary_done || sender.host == known->primary;
+  unsettled.secondary_done =
+      unsettled.secondary_done || sender.host == known->secondary;
+  if (unsettled.primary_done && unsettled.secondary_done) {
     unsettled_.erase(it);
   }
 }
 
-void ClaimRouter::Tick(ClaimKeeper& keepers, TimePoint now, Outbox& out) {
-  std::vector<std::uint64_t> late;
-  for (auto& [claim, asking] : asking_) {
-    if (asking.until <= now) {
-      late.push_back(claim);
-    } else if (asking.sent_at + options_.repeat <= now) {
-      Send(asking, keepers, now, out);
+void ClaimRouter::Tick(ClaimKeeper& replica, TimePoint now, Outbox& out) {
+  std::vector<std::uint64_t> expired;
+  for (auto& [claim, pending] : pending_) {
+    if (pending.expires_at <= now) {
+      expired.push_back(claim);
+    } else if (pending.sent_at + options_.resend_interval <= now) {
+      Send(pending, replica, now, out);
     }
   }
-  for (const std::uint64_t claim : late) {
-    const ClaimRecord wish = asking_.at(claim).wish;
+  for (const std::uint64_t claim : expired) {
+    const ClaimRecord request = pending_.at(claim).request;
     Finish(claim, ClaimReply{});
-    Release(wish, keepers, now, out);
+    Release(request, replica, now, out);
   }
   for (auto& [claim, unsettled] : unsettled_) {
-    if (unsettled.sent_at + options_.repeat <= now) {
-      Send(unsettled, keepers, now, out);
+    if (unsettled.sent_at + options_.resend_interval <= now) {
+      Send(unsettled, replica, now, out);
     }
   }
 }
--- a/fleet/claim_router.h
+++ b/fleet/claim_router.h
@@ -13,6 +13,7 @@
 
 namespace damasktack {
 
+// Counts claims by their verdict.
 struct ClaimCounters {
   std::uint64_t granted = 0;
   std::uint64_t already_ran = 0;
@@ -21,88 +22,96 @@
   std::uint64_t unavailable = 0;
 };
 
-// The claimant's side: asks the first and then the second keeper of a key, and
-// tells both how the claim ended until both have acknowledged it. Pure.
+// Makes claims for the calls of this host: asks the primary and then the
+// secondary replica of a key, and tells both how the claim ended until both
+// have acknowledged it. Does no I/O: reads no clock and sends through an
+// Outbox.
 class ClaimRouter {
  public:
   using Done = std::function<void(const ClaimReply&)>;
 
-  // Claims are numbered from `incarnation`, which is drawn at random, so that
-  // no two processes use the same number.
+  // Claims are numbered from `incarnation`, which is random, so that no two
+  // processes use the same number.
   ClaimRouter(Incarnation incarnation, ClaimOptions options);
 
-  // `done` is called exactly once, later or at once.
+  // Requests a claim. `done` runs exactly once, within this call or later.
   void Claim(const ClaimRequest& request,
              Done done,
-             ClaimKeeper& keepers,
+             ClaimKeeper& replica,
              TimePoint now,
              Outbox& out);
+  // Ends a granted claim and reports its outcome to the replicas.
   void Settle(const ClaimRequest& request,
               std::uint64_t claim,
               Outcome outcome,
               std::optional<KeptAnswer> answer,
-              ClaimKeeper& keepers,
+              ClaimKeeper& replica,
               TimePoint now,
               Outbox& out);
 
   void On(const Sender& sender,
           const ClaimAnswer& answer,
-          ClaimKeeper& keepers,
+          ClaimKeeper& replica,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
           const ClaimSettled& settled,
-          ClaimKeeper& keepers,
+          ClaimKeeper& replica,
           TimePoint now,
           Outbox& out);
-  void Tick(ClaimKeeper& keepers, TimePoint now, Outbox& out);
+  void Tick(ClaimKeeper& replica, TimePoint now, Outbox& out);
 
   const ClaimCounters& counters() const { return counters_; }
-  // Settlements that a keeper has not acknowledged yet.
+  // Number of settlements without the acknowledgements of both replicas.
   std::size_t unsettled() const { return unsettled_.size(); }
-  std::size_t asking() const { return asking_.size(); }
+  // Number of claims without a verdict.
+  std::size_t pending() const { return pending_.size(); }
 
  private:
-  struct Asking {
-    ClaimRecord wish;
+  struct PendingClaim {
+    ClaimRecord request;
     std::int64_t bucket = 0;
     Done done;
-    TimePoint until;
+    TimePoint expires_at;
     TimePoint sent_at;
-    // Under which the first keeper has granted; none where it has not.
-    std::optional<ClaimBallot> first_granted;
+    // The ballot under which the primary replica has granted the claim; null if
+    // it has not.
+    std::optional<ClaimBallot> primary_granted;
   };
   struct Unsettled {
     ClaimRecord record;
     std::int64_t bucket = 0;
     TimePoint ended_at;
     TimePoint sent_at;
-    // Both acknowledgements must come under one ballot.
+    // Both replicas must acknowledge under the same ballot.
     ClaimBallot ballot;
-    bool first_done = false;
-    bool second_done = false;
+    bool primary_done = false;
+    bool secondary_done = false;
   };
 
-  void Send(Asking& asking, ClaimKeeper& keepers, TimePoint now, Outbox& out);
+  void Send(PendingClaim& pending,
+            ClaimKeeper& replica,
+            TimePoint now,
+            Outbox& out);
   void Send(Unsettled& unsettled,
-            ClaimKeeper& keepers,
+            ClaimKeeper& replica,
             TimePoint now,
             Outbox& out);
   void Finish(std::uint64_t claim, ClaimReply reply);
-  // Frees whatever part of the claim was won.
-  void Release(const ClaimRecord& wish,
-               ClaimKeeper& keepers,
+  // Releases a claim that may have been granted by one of the replicas.
+  void Release(const ClaimRecord& request,
+               ClaimKeeper& replica,
                TimePoint now,
                Outbox& out);
   void AddUnsettled(ClaimRecord record,
-                    ClaimKeeper& keepers,
+                    ClaimKeeper& replica,
                     TimePoint now,
                     Outbox& out);
 
   const ClaimOptions options_;
   std::uint64_t next_claim_;
-  std::map<std::uint64_t, Asking> asking_;
-  // Granted and not yet ended by the caller's side.
+  std::map<std::uint64_t, PendingClaim> pending_;
+  // Claims that are granted and not settled, with their buckets.
   std::map<std::uint64_t, std::int64_t> running_;
   std::map<std::uint64_t, Unsettled> unsettled_;
   ClaimCounters counters_;
--- a/fleet/fleet_claim_gate.cc
+++ b/fleet/fleet_claim_gate.cc
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Claims that may wait for the loop; a loop that is further behind than this
-// would answer them too late.
-constexpr std::size_t kMostJobs = 20'000;
+// Maximum length of the queue. A fleet loop that is further behind would answer
+// claims too late.
+constexpr std::size_t kMaxJobs = 20'000;
 
 }  // namespace
 
@@ -23,13 +23,13 @@
   wake_ = std::move(wake);
 }
 
-bool FleetClaimGate::Post(Job job) {
+bool FleetClaimGate::Enqueue(Job job) {
   const std::lock_guard lock(jobs_mutex_);
-  if (!wake_ || jobs_.size() >= kMostJobs) {
+  if (!wake_ || jobs_.size() >= kMaxJobs) {
     return false;
   }
   jobs_.push_back(std::move(job));
-  // One wake for all that wait.
+  // One wake-up serves all queued jobs.
   if (jobs_.size() == 1) {
     wake_();
   }
@@ -38,10 +38,11 @@
 
 void FleetClaimGate::Claim(const ClaimRequest& request,
                            std::function<void(const ClaimReply&)> done) {
-  const bool posted = Post([this, request, done](TimePoint now, Outbox& out) {
-    exchange_.Claim(request, done, now, out);
-  });
-  if (!posted) {
+  const bool enqueued =
+      Enqueue([this, request, done](TimePoint now, Outbox& out) {
+        exchange_.Claim(request, done, now, out);
+      });
+  if (!enqueued) {
     done(ClaimReply{});
   }
 }
@@ -50,10 +51,10 @@
                             std::uint64_t claim,
                             Outcome outcome,
                             std::optional<KeptAnswer> answer) {
-  // A settlement that finds no room leaves its key claimed: safe, and counted
-  // among the granted records.
-  Post([this, request, claim, outcome, answer = std::move(answer)](
-           TimePoint now, Outbox& out) {
+  // If the queue is full, the key stays claimed. This is safe, and the record
+  // shows up in the number of granted ones.
+  Enqueue([this, request, claim, outcome, answer = std::move(answer)](
+              TimePoint now, Outbox& out) {
     exchange_.Settle(request, claim, outcome, answer, now, out);
   });
 }
@@ -61,7 +62,7 @@
 void FleetClaimGate::OnView(const HostView& view, TimePoint now, Outbox& out) {
   const std::lock_guard lock(mutex_);
   HostView seen = view;
-  if (alone_) {
+  if (standalone_) {
     seen.peers.clear();
   }
   exchange_.OnView(seen, now, out);
@@ -92,10 +93,10 @@
 
 bool FleetClaimGate::MayEnd() const {
   const ClaimStatus status = Status();
-  // A bucket that was promised to a takeover is no longer kept, but a takeover
-  // that then ends with its host leaves these records the only ones: two hosts
-  // replaced one after the other forgot claims, and keyed calls ran twice.
-  return status.unsettled == 0 && (alone_ || status.keeper.holds == 0);
+  // Buckets promised to a takeover are included: if that takeover ends with its
+  // host, the records here are the only copy. Without this, the replacement of
+  // two hosts one after the other lost claims, and keyed calls ran twice.
+  return status.unsettled == 0 && (standalone_ || status.replica.holds == 0);
 }
 
 ClaimStatus FleetClaimGate::Status() const {
--- a/fleet/fleet_claim_gate.h
+++ b/fleet/fleet_claim_gate.h
@@ -11,11 +11,12 @@
 
 namespace damasktack {
 
-// The ClaimGate of a running daemon: callers' threads leave their wishes here
-// and the fleet loop, which drives it as a FleetModule, carries them out.
+// The ClaimGate of a running daemon. Threads that serve callers enqueue claims
+// and settlements; the fleet loop, which drives the gate as a FleetModule,
+// executes them.
 class FleetClaimGate : public ClaimGate {
  public:
-  // `limits` says whom to count and must outlive the gate.
+  // `limits` provides the counted hosts and must outlive the gate.
   FleetClaimGate(HostId self,
                  Incarnation incarnation,
                  ClaimOptions options,
@@ -28,11 +29,12 @@
               Outcome outcome,
               std::optional<KeptAnswer> answer) override;
 
-  // `wake` makes the loop call Tick soon. Without one, before the loop starts
-  // and after it has ended, every claim is unavailable.
+  // Sets a function that makes the fleet loop call Tick soon. While it is not
+  // set, before the loop starts and after it has ended, every claim is
+  // unavailable.
   void SetWake(std::function<void()> wake);
-  // Without peers, whatever the list says.
-  void SetAlone() { alone_ = true; }
+  // Ignores all peers, whatever the host list says.
+  void SetAlone() { standalone_ = true; }
 
   void OnView(const HostView& view, TimePoint now, Outbox& out);
   void OnMessage(const Sender& sender,
@@ -41,23 +43,24 @@
                  Outbox& out);
   void Tick(TimePoint now, Outbox& out);
 
-  // Nothing would be lost if this process ended: every end is acknowledged and
-  // every bucket that another host can keep is kept there.
+  // Returns whether no claim would be lost if this process ended: every
+  // settlement is acknowledged, and every bucket is stored by other hosts.
   bool MayEnd() const;
   ClaimStatus Status() const;
 
  private:
   using Job = std::function<void(TimePoint now, Outbox& out)>;
 
-  bool Post(Job job);
+  // False if there is no loop or the queue is full.
+  bool Enqueue(Job job);
 
   const FleetLimitGate& limits_;
-  bool alone_ = false;
+  bool standalone_ = false;
 
   mutable std::mutex mutex_;
   ClaimExchange exchange_;
 
-  // Apart from mutex_, so that callers never wait for the loop's work.
+  // Separate from mutex_, so that callers never wait for the fleet loop.
   std::mutex jobs_mutex_;
   std::vector<Job> jobs_;
   std::function<void()> wake_;
--- a/fleet/fleet_limit_gate.cc
+++ b/fleet/fleet_limit_gate.cc
@@ -33,7 +33,7 @@
 void FleetLimitGate::OnView(const HostView& view, TimePoint now, Outbox& out) {
   const std::lock_guard lock(mutex_);
   HostView seen = view;
-  if (alone_) {
+  if (standalone_) {
     seen.revision = std::max<Revision>(seen.revision, 1);
     seen.peers.clear();
     seen.unlisted.clear();
@@ -60,7 +60,7 @@
 }
 
 void FleetLimitGate::SetAlone() {
-  alone_ = true;
+  standalone_ = true;
   Outbox nobody;
   OnView({}, read_clock_(), nobody);
 }
--- a/fleet/fleet_limit_gate.h
+++ b/fleet/fleet_limit_gate.h
@@ -48,7 +48,7 @@
   TimePoint Now(TimePoint caller_time) const;
 
   const ReadClock read_clock_;
-  bool alone_ = false;
+  bool standalone_ = false;
   mutable std::mutex mutex_;
   LimitLedger ledger_;
 };
--- a/tests/fleet/test_claim_exchange.cc
+++ b/tests/fleet/test_claim_exchange.cc
@@ -23,32 +23,33 @@
   return options;
 }
 
-// Claims with the division that says whom to count, as in the daemon.
+// One host with its claims and the limit division that determines the counted
+// hosts, as in the daemon.
 class ClaimHost {
  public:
   ClaimHost(HostId id, Incarnation incarnation)
-      : ledger_(id, incarnation, Limits()),
+      : limits_(id, incarnation, Limits()),
         claims_(id, incarnation, Options()) {}
 
   void OnView(const HostView& view, TimePoint now, Outbox& out) {
-    ledger_.OnView(view, now, out);
+    limits_.OnView(view, now, out);
     claims_.OnView(view, now, out);
   }
   void OnMessage(const Sender& sender,
                  const PeerMessage& message,
                  TimePoint now,
                  Outbox& out) {
-    ledger_.OnMessage(sender, message, now, out);
-    claims_.SetCounted(ledger_.Counted());
+    limits_.OnMessage(sender, message, now, out);
+    claims_.SetCounted(limits_.Counted());
     claims_.OnMessage(sender, message, now, out);
   }
   void Tick(TimePoint now, Outbox& out) {
-    ledger_.Tick(now, out);
-    claims_.SetCounted(ledger_.Counted());
+    limits_.Tick(now, out);
+    claims_.SetCounted(limits_.Counted());
     claims_.Tick(now, out);
   }
   ClaimExchange& claims() { return claims_; }
-  bool owns() const { return ledger_.Counted().owns; }
+  bool owns() const { return limits_.Counted().owns; }
 
  private:
   static LimitOptions Limits() {
@@ -57,14 +58,15 @@
     return options;
   }
 
-  LimitLedger ledger_;
+  LimitLedger limits_;
   ClaimExchange claims_;
 };
 
-// Callers that repeat few keys through any host, and an endpoint that counts.
-class ClaimTrial {
+// Simulates callers that repeat a few keys through any host, and an endpoint
+// that counts executions by key.
+class ClaimSimulation {
  public:
-  ClaimTrial(std::size_t hosts, std::uint64_t seed)
+  ClaimSimulation(std::size_t hosts, std::uint64_t seed)
       : fleet_(hosts, seed, [](HostId id, Incarnation incarnation) {
           return std::make_unique<ClaimHost>(id, incarnation);
         }) {
@@ -77,9 +79,9 @@
 
   FakeFleet<ClaimHost>& fleet() { return fleet_; }
   int executions(const std::string& key) { return executions_[key]; }
-  bool broken() const { return broken_; }
+  bool is_violated() const { return is_violated_; }
 
-  // `pause` passes between the grant and the send.
+  // `pause` is the time between the grant and the execution.
   void Call(std::size_t n,
             const std::string& key,
             Duration pause,
@@ -97,14 +99,15 @@
     fleet_.At(n).claims().Claim(
         request,
         [=, this](const ClaimReply& reply) {
-          const bool ran = executions_[key] > 0 || unknown_.contains(key);
+          const bool ran =
+              executions_[key] > 0 || maybe_executed_.contains(key);
           const bool wrong =
               reply.verdict == ClaimVerdict::kAlreadyRan &&
               (!ran || (reply.answer && reply.answer->body != key));
-          broken_ = broken_ || wrong;
+          is_violated_ = is_violated_ || wrong;
           if (reply.verdict == ClaimVerdict::kGranted) {
-            sends_.push_back({n, incarnation, request, reply.claim,
-                              fleet_.now() + pause, outcome});
+            granted_calls_.push_back({n, incarnation, request, reply.claim,
+                                      fleet_.now() + pause, outcome});
           }
           if (done) {
             done(reply.verdict);
@@ -117,14 +120,14 @@
   void Advance(Duration length) {
     for (Duration passed{}; passed < length; passed += milliseconds(20)) {
       fleet_.Advance(milliseconds(20));
-      SendDue();
+      RunDueCalls();
     }
   }
 
-  // The stated limit: both keepers of a bucket must not be lost together. A
-  // crash is left out where it would take the last records of the newest
-  // ballot.
-  bool MayCrash(std::size_t n) {
+  // The documented assumption is that the two replicas of a bucket are not lost
+  // at the same time. Returns false if a crash of this host would lose the last
+  // records of the highest ballot of a bucket.
+  bool IsCrashTolerated(std::size_t n) {
     for (std::int64_t bucket = 0; bucket < Options().buckets; ++bucket) {
       ClaimBallot newest;
       bool others = false;
@@ -132,7 +135,7 @@
         if (!fleet_.Alive(it)) {
           continue;
         }
-        const auto held = fleet_.At(it).claims().keeper().HeldUnder(bucket);
+        const auto held = fleet_.At(it).claims().replica().HeldUnder(bucket);
         if (held && newest < *held) {
           newest = *held;
           others = false;
@@ -147,7 +150,7 @@
   }
 
  private:
-  struct Send {
+  struct GrantedCall {
     std::size_t host = 0;
     Incarnation incarnation = 0;
     ClaimRequest request;
@@ -156,25 +159,25 @@
     Outcome outcome = Outcome::kComplete;
   };
 
-  void SendDue() {
-    const std::vector<Send> sends = std::exchange(sends_, {});
-    for (const Send& it : sends) {
+  void RunDueCalls() {
+    const std::vector<GrantedCall> calls = std::exchange(granted_calls_, {});
+    for (const GrantedCall& it : calls) {
       const bool crashed = !fleet_.Alive(it.host) ||
                            fleet_.HostAt(it.host).incarnation != it.incarnation;
       if (crashed) {
         continue;
       }
       if (!fleet_.Awake(it.host) || it.at > fleet_.now()) {
-        sends_.push_back(it);
+        granted_calls_.push_back(it);
         continue;
       }
       const std::string& key = it.request.key;
       std::optional<KeptAnswer> answer;
       if (it.outcome != Outcome::kNotRun) {
-        broken_ = ++executions_[key] > 1 || broken_;
+        is_violated_ = ++executions_[key] > 1 || is_violated_;
       }
       if (it.outcome == Outcome::kUnknown) {
-        unknown_.insert(key);
+        maybe_executed_.insert(key);
       }
       if (it.outcome == Outcome::kComplete) {
         answer = KeptAnswer{200, "text/plain", key};
@@ -188,13 +191,13 @@
 
   FakeFleet<ClaimHost> fleet_;
   std::map<std::string, int> executions_;
-  std::set<std::string> unknown_;
-  std::vector<Send> sends_;
-  bool broken_ = false;
+  std::set<std::string> maybe_executed_;
+  std::vector<GrantedCall> granted_calls_;
+  bool is_violated_ = false;
 };
 
-void StartAgain(std::size_t n, ClaimTrial& trial) {
-  auto& fleet = trial.fleet();
+void RestartHost(std::size_t n, ClaimSimulation& simulation) {
+  auto& fleet = simulation.fleet();
   bool names_owner = false;
   for (const std::size_t it : fleet.HostAt(n).listed) {
     names_owner = names_owner || (fleet.Alive(it) && fleet.At(it).owns());
@@ -203,8 +206,8 @@
   fleet.ShowViews();
 }
 
-void Happen(std::uint32_t event, ClaimTrial& trial) {
-  auto& fleet = trial.fleet();
+void ApplyEvent(std::uint32_t event, ClaimSimulation& simulation) {
+  auto& fleet = simulation.fleet();
   const std::size_t a = (event >> 8) % fleet.size();
   const std::size_t b = (event >> 12) % fleet.size();
   const std::uint32_t size = (event >> 16) % 64;
@@ -226,7 +229,7 @@
       fleet.List(a, b, true);
       break;
     case 6:
-      if (trial.MayCrash(a)) {
+      if (simulation.IsCrashTolerated(a)) {
         fleet.Crash(a);
         fleet.ShowViews();
       }
@@ -234,11 +237,11 @@
     case 7:
     case 8:
       if (!fleet.Alive(a)) {
-        StartAgain(a, trial);
+        RestartHost(a, simulation);
       }
       break;
     case 9:
-      if (fleet.Awake(a) && trial.MayCrash(a)) {
+      if (fleet.Awake(a) && simulation.IsCrashTolerated(a)) {
         fleet.Leave(a);
         fleet.ShowViews();
       }
@@ -251,16 +254,17 @@
   }
   const std::string key = "key-" + std::to_string(size % 5);
   const auto outcome = static_cast<Outcome>((event >> 22) % 3);
-  trial.Call(a, key, milliseconds(50) * size, outcome);
-  trial.Call(b, key, milliseconds(5) * size, Outcome::kComplete);
-  trial.Advance(milliseconds(20) * (1 + (event >> 24) % 20));
+  simulation.Call(a, key, milliseconds(50) * size, outcome);
+  simulation.Call(b, key, milliseconds(5) * size, Outcome::kComplete);
+  simulation.Advance(milliseconds(20) * (1 + (event >> 24) % 20));
 }
 
-// One keeper a key, by each host's own list; the first way weighed.
-class OneKeeper {
+// A design with one replica per key, chosen from each host's own host list. It
+// was considered first and rejected.
+class SingleReplica {
  public:
   void SetList(std::vector<std::string> hosts) { hosts_ = std::move(hosts); }
-  const std::string& KeeperOf(const std::string& key) const {
+  const std::string& ReplicaOf(const std::string& key) const {
     return *std::max_element(hosts_.begin(), hosts_.end(),
                              [&](const auto& a, const auto& b) {
                                return std::hash<std::string>()(a + key) <
@@ -274,146 +278,149 @@
 
 }  // namespace
 
-// A caller repeats a dock command through another host and the mower docks
-// twice: the keepers crashed, changed or were cut off between the two, or the
-// first host paused after its check. Generated schedules of all of these.
-TEST_CASE("no key is executed twice, and keys are served again in the end") {
+// Guards against a repeated call that is executed twice because, between the
+// two attempts, replicas crashed, changed or were cut off, or the first host
+// paused after its grant. Generated schedules combine these events. After they
+// end, new keys must be granted again.
+TEST_CASE("no key is executed twice, and claims recover after failures") {
   CHECK(rc::check([] {
     const auto hosts = *rc::gen::inRange<std::size_t>(2, 6);
     const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1'000'000);
     const auto events = *rc::gen::container<std::vector<std::uint32_t>>(
         60, rc::gen::inRange<std::uint32_t>(0, 1U << 30));
-    ClaimTrial trial(hosts, seed);
+    ClaimSimulation simulation(hosts, seed);
     for (const std::uint32_t it : events) {
-      Happen(it, trial);
-      RC_ASSERT(!trial.broken());
+      ApplyEvent(it, simulation);
+      RC_ASSERT(!simulation.is_violated());
     }
-    auto& fleet = trial.fleet();
+    auto& fleet = simulation.fleet();
     fleet.SetLoss(0);
     for (std::size_t n = 0; n < hosts; ++n) {
       if (!fleet.Alive(n)) {
-        StartAgain(n, trial);
+        RestartHost(n, simulation);
       }
       for (std::size_t peer = 0; peer < hosts; ++peer) {
         fleet.Cut(n, peer, false);
         fleet.List(n, peer, true);
       }
     }
-    trial.Advance(seconds(30));
+    simulation.Advance(seconds(30));
     int granted = 0;
     for (std::size_t n = 0; n < hosts; ++n) {
-      trial.Call(n, "late-" + std::to_string(n), {}, Outcome::kComplete,
-                 [&](ClaimVerdict verdict) {
-                   granted += verdict == ClaimVerdict::kGranted ? 1 : 0;
-                 });
+      simulation.Call(n, "late-" + std::to_string(n), {}, Outcome::kComplete,
+                      [&](ClaimVerdict verdict) {
+                        granted += verdict == ClaimVerdict::kGranted ? 1 : 0;
+                      });
     }
-    trial.Advance(seconds(3));
+    simulation.Advance(seconds(3));
     RC_ASSERT(granted == static_cast<int>(hosts));
-    RC_ASSERT(!trial.broken());
+    RC_ASSERT(!simulation.is_violated());
   }));
 }
 
-// The naive way: with one keeper by the list, a host that joins becomes the
-// keeper of keys that it knows nothing of, and they run again.
-TEST_CASE("one keeper by the list doubles when the list changes") {
-  OneKeeper old_list;
+// With a single replica chosen from the host list, a host that joins becomes
+// the replica of keys of which it has no records, and their calls run again.
+TEST_CASE("a single replica executes keys twice when the host list changes") {
+  SingleReplica old_list;
   old_list.SetList({"h0", "h1"});
-  OneKeeper new_list;
+  SingleReplica new_list;
   new_list.SetList({"h0", "h1", "h2"});
   std::map<std::string, std::set<std::string>> records;
-  int doubled = 0;
+  int executed_twice = 0;
   for (int n = 0; n < 30; ++n) {
     const std::string key = "key-" + std::to_string(n);
-    records[old_list.KeeperOf(key)].insert(key);
-    doubled += records[new_list.KeeperOf(key)].insert(key).second ? 1 : 0;
+    records[old_list.ReplicaOf(key)].insert(key);
+    executed_twice +=
+        records[new_list.ReplicaOf(key)].insert(key).second ? 1 : 0;
   }
-  CHECK(doubled > 0);
+  CHECK(executed_twice > 0);
 }
 
-TEST_CASE("a repeat hears the earlier answer through any host") {
-  ClaimTrial trial(3, 1);
-  trial.Call(0, "dock", {}, Outcome::kComplete);
-  trial.Advance(seconds(1));
+TEST_CASE("a repeated call gets the earlier answer through any host") {
+  ClaimSimulation simulation(3, 1);
+  simulation.Call(0, "dock", {}, Outcome::kComplete);
+  simulation.Advance(seconds(1));
   int ran = 0;
   for (std::size_t n = 0; n < 3; ++n) {
-    trial.Call(n, "dock", {}, Outcome::kComplete, [&](ClaimVerdict verdict) {
-      ran += verdict == ClaimVerdict::kAlreadyRan ? 1 : 0;
-    });
+    simulation.Call(n, "dock", {}, Outcome::kComplete,
+                    [&](ClaimVerdict verdict) {
+                      ran += verdict == ClaimVerdict::kAlreadyRan ? 1 : 0;
+                    });
   }
-  trial.Advance(seconds(1));
+  simulation.Advance(seconds(1));
   CHECK(ran == 3);
-  CHECK(trial.executions("dock") == 1);
-  CHECK_FALSE(trial.broken());
+  CHECK(simulation.executions("dock") == 1);
+  CHECK_FALSE(simulation.is_violated());
 }
 
-TEST_CASE("a call that did not run frees its key") {
-  ClaimTrial trial(3, 1);
-  trial.Call(0, "dock", {}, Outcome::kNotRun);
-  trial.Advance(seconds(1));
-  trial.Call(1, "dock", {}, Outcome::kComplete);
-  trial.Advance(seconds(1));
-  CHECK(trial.executions("dock") == 1);
+TEST_CASE("the key of a call that did not run is free again") {
+  ClaimSimulation simulation(3, 1);
+  simulation.Call(0, "dock", {}, Outcome::kNotRun);
+  simulation.Advance(seconds(1));
+  simulation.Call(1, "dock", {}, Outcome::kComplete);
+  simulation.Advance(seconds(1));
+  CHECK(simulation.executions("dock") == 1);
 }
 
-// A keeper crashes and comes back with nothing. The other one still knows what
-// was granted, so the repeat hears of it instead of running.
-TEST_CASE("one keeper's crash forgets nothing") {
+// A replica crashes and restarts without records. The other replica still has
+// them, so a repeated call must not run.
+TEST_CASE("the crash of one replica loses no claims") {
   for (std::size_t crashed = 0; crashed < 3; ++crashed) {
-    ClaimTrial trial(3, 1 + crashed);
-    trial.Call(0, "dock", {}, Outcome::kComplete);
-    trial.Advance(seconds(1));
-    trial.fleet().Crash(crashed);
-    trial.fleet().ShowViews();
-    trial.Advance(seconds(1));
-    StartAgain(crashed, trial);
-    trial.Advance(seconds(6));
+    ClaimSimulation simulation(3, 1 + crashed);
+    simulation.Call(0, "dock", {}, Outcome::kComplete);
+    simulation.Advance(seconds(1));
+    simulation.fleet().Crash(crashed);
+    simulation.fleet().ShowViews();
+    simulation.Advance(seconds(1));
+    RestartHost(crashed, simulation);
+    simulation.Advance(seconds(6));
     for (std::size_t n = 0; n < 3; ++n) {
-      trial.Call(n, "dock", {}, Outcome::kComplete);
+      simulation.Call(n, "dock", {}, Outcome::kComplete);
     }
-    trial.Advance(seconds(3));
-    CHECK(trial.executions("dock") == 1);
+    simulation.Advance(seconds(3));
+    CHECK(simulation.executions("dock") == 1);
   }
 }
 
-// A replaced host is back and reachable, but a link between it and a third host
-// comes up late, so that it may not keep claims yet. It has already promised to
-// follow the takeover that waits for it. Callers are told "unknown" for every
-// key of that bucket until the takeover takes note that it may keep them.
-TEST_CASE("a takeover goes on once its second keeper may keep claims") {
-  ClaimTrial trial(3, 1);
-  auto& fleet = trial.fleet();
+// A host restarts and is reachable, but its link to a third host comes up late,
+// so it may not be a replica yet. It has already promised the takeover that
+// waits for it. If the takeover did not ask it again, callers would be told
+// "unknown" for every key of the bucket until the takeover timed out.
+TEST_CASE("a takeover continues once its secondary replica is counted by all") {
+  ClaimSimulation simulation(3, 1);
+  auto& fleet = simulation.fleet();
   fleet.Leave(0);
   fleet.ShowViews();
-  trial.Advance(seconds(8));
+  simulation.Advance(seconds(8));
   fleet.Cut(0, 2, true);
-  StartAgain(0, trial);
-  trial.Advance(seconds(1));
-  // What was promised to the takeover is still held: a planned stop of this
-  // host must wait, or both copies could be gone before the next keepers have
-  // theirs.
-  const ClaimKeeperStatus waiting = fleet.At(2).claims().Status().keeper;
+  RestartHost(0, simulation);
+  simulation.Advance(seconds(1));
+  // Buckets promised to the takeover are still held. A graceful stop of this
+  // host must wait, as otherwise both copies could be lost before the new
+  // replicas have theirs.
+  const ClaimKeeperStatus waiting = fleet.At(2).claims().Status().replica;
   CHECK(waiting.first_of + waiting.second_of < Options().buckets);
   CHECK(waiting.holds == Options().buckets);
   fleet.Cut(0, 2, false);
-  trial.Advance(seconds(1));
+  simulation.Advance(seconds(1));
   int granted = 0;
   constexpr int kKeys = 12;
   for (int n = 0; n < kKeys; ++n) {
-    trial.Call(1, "dock-" + std::to_string(n), {}, Outcome::kComplete,
-               [&](ClaimVerdict verdict) {
-                 granted += verdict == ClaimVerdict::kGranted ? 1 : 0;
-               });
+    simulation.Call(1, "dock-" + std::to_string(n), {}, Outcome::kComplete,
+                    [&](ClaimVerdict verdict) {
+                      granted += verdict == ClaimVerdict::kGranted ? 1 : 0;
+                    });
   }
-  trial.Advance(milliseconds(500));
+  simulation.Advance(milliseconds(500));
   CHECK(granted == kKeys);
 }
 
-TEST_CASE("a host alone keeps claims after the quarantine") {
-  ClaimTrial trial(1, 1);
-  trial.Call(0, "dock", {}, Outcome::kComplete);
-  trial.Call(0, "dock", {}, Outcome::kComplete);
-  trial.Advance(seconds(1));
-  CHECK(trial.executions("dock") == 1);
+TEST_CASE("a single host stores claims after the quarantine") {
+  ClaimSimulation simulation(1, 1);
+  simulation.Call(0, "dock", {}, Outcome::kComplete);
+  simulation.Call(0, "dock", {}, Outcome::kComplete);
+  simulation.Advance(seconds(1));
+  CHECK(simulation.executions("dock") == 1);
 }
 
 }  // namespace damasktack
--- a/tests/fleet/test_claim_messages.cc
+++ b/tests/fleet/test_claim_messages.cc
@@ -6,10 +6,10 @@
 
 namespace damasktack {
 
-TEST_CASE("claim messages come back as they were sent") {
+TEST_CASE("claim messages are decoded as they were encoded") {
   const ClaimBallot ballot{~std::uint64_t{0}, HostId("h1"), 7};
-  const ClaimKeepers keepers{255, ballot, HostId("h1"), HostId("h2")};
-  // A key and a body may hold bytes that are no UTF-8.
+  const ClaimKeepers replicas{255, ballot, HostId("h1"), HostId("h2")};
+  // A key and a body may hold bytes that are not valid UTF-8.
   const ClaimRecord record{CustomerId("parks"),
                            "key-\xff",
                            ~std::uint64_t{0},
@@ -18,16 +18,16 @@
                            std::chrono::seconds(2),
                            KeptAnswer{200, "", "\xff body"}};
   const std::vector<PeerMessage> sent{
-      keepers,
+      replicas,
       TakeoverAsk{3, ballot},
       TakeoverAnswer{3, ballot, {}, ballot, true, {record}},
-      KeeperInstall{keepers, {record}},
+      KeeperInstall{replicas, {record}},
       KeeperInstalled{3, ballot},
       ClaimAsk{3, {}, record},
       ClaimAnswer{3, ballot, CustomerId("parks"), "key", 9,
-                  ClaimVerdict::kAlreadyRan, record.answer, keepers},
+                  ClaimVerdict::kAlreadyRan, record.answer, replicas},
       ClaimSettle{3, ballot, record},
-      ClaimSettled{ballot, 9, true, keepers}};
+      ClaimSettled{ballot, 9, true, replicas}};
   for (const PeerMessage& it : sent) {
     CAPTURE(KindOf(it));
     const auto got =
