--- a/fleet/crash_exchange.cc
+++ b/fleet/crash_exchange.cc
@@ -10,28 +10,28 @@
 namespace {
 
 void SendTo(std::vector<HostId> hosts,
-            const CrashNews& news,
+            const CrashNews& updates,
             TimePoint now,
             Outbox& out) {
-  if (!hosts.empty() && !news.empty()) {
-    out.SendToAll(std::move(hosts), MakeCrashReport(news, now));
+  if (!hosts.empty() && !updates.empty()) {
+    out.SendToAll(std::move(hosts), MakeCrashReport(updates, now));
   }
 }
 
 }  // namespace
 
 void CrashExchange::OnPeer(const HostId& host,
-                           CrashListener listener,
+                           CrashListener role,
                            TimePoint now,
                            Outbox& out) {
   const auto known = peers_.find(host);
-  if (known != peers_.end() && known->second == listener) {
+  if (known != peers_.end() && known->second == role) {
     return;
   }
-  peers_[host] = listener;
-  const std::size_t least =
-      listener == CrashListener::kFollower ? kTellFollowersFrom : 1;
-  CrashReport report = quarantine_.Evidence(least, now);
+  peers_[host] = role;
+  const std::size_t min_crashes =
+      role == CrashListener::kFollower ? kTellFollowersFrom : 1;
+  CrashReport report = quarantine_.Evidence(min_crashes, now);
   if (!report.empty()) {
     out.Send(host, std::move(report));
   }
@@ -41,63 +41,64 @@
   peers_.erase(host);
 }
 
-std::vector<HostId> CrashExchange::Listeners(CrashListener listener,
-                                             const HostId& but) const {
+std::vector<HostId> CrashExchange::PeersWithRole(CrashListener role,
+                                                 const HostId& excluded) const {
   std::vector<HostId> hosts;
   for (const auto& [host, it] : peers_) {
-    if (it == listener && host != but) {
+    if (it == role && host != excluded) {
       hosts.push_back(host);
     }
   }
   return hosts;
 }
 
-CrashNews CrashExchange::ForFollowers(const CrashNews& news) const {
-  CrashNews told;
+CrashNews CrashExchange::SelectForFollowers(const CrashNews& updates) const {
+  CrashNews selected;
   std::set<RequestFingerprint> requests;
-  for (const CrashSighting& it : news.sightings) {
+  for (const CrashSighting& it : updates.sightings) {
     requests.insert(it.request);
   }
   for (const RequestFingerprint request : requests) {
     const std::vector<CrashSighting> all = quarantine_.SightingsOf(request);
     if (all.size() >= kTellFollowersFrom) {
-      std::ranges::copy(all, std::back_inserter(told.sightings));
+      std::ranges::copy(all, std::back_inserter(selected.sightings));
     }
   }
-  for (const CrashNews::Cleared& it : news.cleared) {
+  for (const CrashNews::Cleared& it : updates.cleared) {
     if (it.crashes >= kTellFollowersFrom) {
-      told.cleared.push_back(it);
+      selected.cleared.push_back(it);
     }
   }
-  return told;
+  return selected;
 }
 
-void CrashExchange::Pass(const CrashNews& news,
-                         const HostId& from,
-                         TimePoint now,
-                         Outbox& out) const {
-  SendTo(Listeners(CrashListener::kSeed, from), news, now, out);
-  // A follower that sent the second sighting of a request lacks the first.
-  SendTo(Listeners(CrashListener::kFollower, HostId()), ForFollowers(news), now,
-         out);
+void CrashExchange::Relay(const CrashNews& updates,
+                          const HostId& from,
+                          TimePoint now,
+                          Outbox& out) const {
+  SendTo(PeersWithRole(CrashListener::kSeed, from), updates, now, out);
+  // The sender is included: a follower that reported the second crash of a
+  // request has not got the report on the first.
+  SendTo(PeersWithRole(CrashListener::kFollower, HostId()),
+         SelectForFollowers(updates), now, out);
 }
 
 void CrashExchange::Share(TimePoint now, Outbox& out) {
-  const CrashNews news = quarantine_.TakeNews();
-  if (news.empty()) {
+  const CrashNews updates = quarantine_.TakeNews();
+  if (updates.empty()) {
     return;
   }
-  SendTo(Listeners(CrashListener::kPeer, HostId()), news, now, out);
-  Pass(news, HostId(), now, out);
+  SendTo(PeersWithRole(CrashListener::kPeer, HostId()), updates, now, out);
+  Relay(updates, HostId(), now, out);
 }
 
 void CrashExchange::OnReport(const HostId& from,
                              const CrashReport& report,
                              TimePoint now,
                              Outbox& out) {
-  const CrashNews news = quarantine_.Take(report, now);
-  if (!news.empty()) {
-    Pass(news, from, now, out);
+  const CrashNews updates = quarantine_.Take(report, now);
+  if (!updates.empty()) {
+    Relay(updates, from, now, out);
   }
 }
 
--- a/fleet/crash_exchange.h
+++ b/fleet/crash_exchange.h
@@ -12,36 +12,39 @@
 
 namespace damasktack {
 
-// Who hears what of crashes.
+// The role of a peer, which determines the crash reports that it gets.
 enum class CrashListener : std::uint8_t {
-  // Linked to all hosts, as this one is: hears what this host finds out itself.
+  // A peer in a full mesh. Gets the findings of this host itself.
   kPeer,
-  // A seed: hears everything, and passes it on.
+  // A seed. Gets all reports and relays them.
   kSeed,
-  // Follows a seed: hears of a request once it has been at several crashes. A
-  // crash has a few suspects and most of them never come again; telling each to
-  // hundreds of hosts would cost the seed more than the crash.
+  // A host that is connected to a seed. Gets reports on a request only once it
+  // was involved in several crashes. A crash has a few suspects, most of which
+  // are never involved again; sending each to hundreds of hosts would cost the
+  // seed more than the crash.
   kFollower,
 };
 
-// Exchanges the evidence against requests that crash endpoints. Not
+// Exchanges evidence on requests that crash endpoints with other hosts. Not
 // thread-safe; the quarantine is.
 class CrashExchange {
  public:
-  // Crashes from which on followers hear of a request.
+  // Minimum number of crashes for which followers get reports on a request.
   static constexpr std::size_t kTellFollowersFrom = 2;
 
   explicit CrashExchange(RequestQuarantine& quarantine)
       : quarantine_(quarantine) {}
 
-  // Runs when there is news to Share, on the thread that brought it.
-  void SetOnNews(std::function<void()> on_news) {
-    quarantine_.SetOnNews(std::move(on_news));
+  // Sets a function that runs when there are updates to share, on the thread
+  // that caused them.
+  void SetOnNews(std::function<void()> on_updates) {
+    quarantine_.SetOnNews(std::move(on_updates));
   }
 
-  // A new peer hears what there is; one known in the same part, nothing.
+  // Adds a peer and sends it the evidence so far. Does nothing if the peer is
+  // known with the same role.
   void OnPeer(const HostId& host,
-              CrashListener listener,
+              CrashListener role,
               TimePoint now,
               Outbox& out);
   void OnPeerGone(const HostId& host);
@@ -49,10 +52,10 @@
                 const CrashReport& report,
                 TimePoint now,
                 Outbox& out);
-  // Tells the peers what this host has found out since the last call.
+  // Sends the findings of this host since the last call to its peers.
   void Share(TimePoint now, Outbox& out);
 
-  // As a module of a fleet in which all hosts are linked.
+  // The FleetModule interface, for a fleet that is a full mesh.
   void OnView(const HostView& view, TimePoint now, Outbox& out);
   void OnMessage(const Sender& sender,
                  const PeerMessage& message,
@@ -61,19 +64,20 @@
   void Tick(TimePoint now, Outbox& out) { Share(now, out); }
 
  private:
-  std::vector<HostId> Listeners(CrashListener listener,
-                                const HostId& but) const;
-  // Tells followers, and seeds but `from`.
-  void Pass(const CrashNews& news,
-            const HostId& from,
-            TimePoint now,
-            Outbox& out) const;
-  // What of the news followers hear, with what was held back so far.
-  CrashNews ForFollowers(const CrashNews& news) const;
+  std::vector<HostId> PeersWithRole(CrashListener role,
+                                    const HostId& excluded) const;
+  // Sends updates to followers, and to all seeds except `from`.
+  void Relay(const CrashNews& updates,
+             const HostId& from,
+             TimePoint now,
+             Outbox& out) const;
+  // Returns the part of the updates that followers get, together with earlier
+  // evidence on these requests that was held back.
+  CrashNews SelectForFollowers(const CrashNews& updates) const;
 
   RequestQuarantine& quarantine_;
   std::map<HostId, CrashListener> peers_;
-  // Of the reachable hosts of the last view.
+  // The reachable hosts of the last view.
   std::map<HostId, Incarnation> incarnations_;
 };
 
--- a/fleet/crash_messages.cc
+++ b/fleet/crash_messages.cc
@@ -13,7 +13,7 @@
 using detail::ReadTime;
 using detail::ToMicroseconds;
 
-// Far beyond any clock.
+// Upper bound for plausible start times.
 constexpr std::int64_t kLatestStartMs = 1'000'000'000'000'000;
 
 }  // namespace
--- a/fleet/crash_messages.h
+++ b/fleet/crash_messages.h
@@ -10,11 +10,13 @@
 
 namespace damasktack {
 
-// Which requests were at endpoints when these ended, and which of them have
-// been answered since. Times are told as ages: hosts' clocks differ.
+// Reports requests that were running at endpoints when these crashed, and
+// requests that were cleared because an endpoint answered them. Times are sent
+// as ages, as the clocks of hosts differ.
 struct CrashReport {
   static constexpr std::string_view kKind = "crash-report";
 
+  // A request that was running at an endpoint when it crashed.
   struct Sighting {
     RequestFingerprint request;
     EndpointProcess endpoint;
@@ -25,6 +27,7 @@
                                         const std::string& path);
     bool operator==(const Sighting&) const = default;
   };
+  // A request that an endpoint has answered.
   struct Cleared {
     RequestFingerprint request;
     Duration age{};
--- a/fleet/document_check.h
+++ b/fleet/document_check.h
@@ -5,7 +5,8 @@
 
 namespace damasktack {
 
-// Whether a value may come into force: parses it whole, by its name.
+// Checks whether a document may take effect, by parsing it completely according
+// to its name.
 leaf::result<void> CheckDocument(const Document& document);
 
 }  // namespace damasktack
--- a/fleet/document_messages.h
+++ b/fleet/document_messages.h
@@ -11,11 +11,11 @@
 
 namespace damasktack {
 
-// One value of a document. The platform gives each value a revision of its own;
-// the hash of the body makes the order total where it broke that word, so that
-// all hosts still end on the same value.
+// Identifies one version of a document. The platform assigns each version its
+// own revision. If it assigns the same revision to two different bodies, their
+// hashes decide, so that all hosts still agree on one version.
 struct DocumentVersion {
-  // 0 where there is no value.
+  // 0 if there is no document.
   Revision revision = 0;
   std::uint64_t hash = 0;
 
@@ -24,12 +24,12 @@
 
 DocumentVersion VersionOf(const Document& document);
 
-// The versions that the sender has, by DocumentName.
+// Announces the versions that the sender has, by DocumentName.
 struct DocumentDigest {
   static constexpr std::string_view kKind = "document-digest";
 
   std::array<DocumentVersion, kDocumentCount> versions{};
-  // The sender wants the receiver's digest in return.
+  // The sender requests the receiver's digest in return.
   bool answer = false;
 
   Json ToJson() const;
@@ -39,6 +39,7 @@
   bool operator==(const DocumentDigest&) const = default;
 };
 
+// Sends a document that the receiver has requested.
 struct DocumentPush {
   static constexpr std::string_view kKind = "document-push";
 
@@ -51,7 +52,7 @@
   bool operator==(const DocumentPush&) const = default;
 };
 
-// Asks for a document if the receiver's version is above `after`.
+// Requests a document if the receiver's version is higher than `after`.
 struct DocumentAsk {
   static constexpr std::string_view kKind = "document-ask";
 
--- a/fleet/document_store.cc
+++ b/fleet/document_store.cc
@@ -45,8 +45,8 @@
                                 const Document& document,
                                 const DocumentVersion& version,
                                 TimePoint now) {
-  // Several peers and the platform offer the same bad value; one check is
-  // enough.
+  // Several peers and the platform may offer the same invalid version. It is
+  // checked only once.
   if (slot.refused && slot.refused->version == version) {
     slot.refused->when = now;
     return false;
@@ -118,13 +118,14 @@
                               Outbox& out) {
   if (const auto* digest = std::get_if<DocumentDigest>(&message)) {
     OnDigest(sender.host, *digest, now, out);
-  } else if (const auto* ask = std::get_if<DocumentAsk>(&message)) {
-    if (SlotOf(ask->name).version > ask->after) {
-      Push(sender.host, ask->name, out);
+  } else if (const auto* request = std::get_if<DocumentAsk>(&message)) {
+    if (SlotOf(request->name).version > request->after) {
+      Push(sender.host, request->name, out);
     }
   } else if (const auto* push = std::get_if<DocumentPush>(&message)) {
-    // Whatever came for an ask, the next digest may ask again.
-    SlotOf(push->document.name).asked_version = {};
+    // Any push ends the pending request, so that the next digest may request
+    // the document again.
+    SlotOf(push->document.name).requested_version = {};
     Offer(push->document, DocumentOrigin::kPeer, now, out);
   }
 }
@@ -133,16 +134,16 @@
   if (now < next_digest_) {
     return;
   }
-  // Between half and one and a half intervals, so that hosts that started
-  // together do not stay in step.
-  next_digest_ = now + options_.digest / 2 +
-                 options_.digest * UniformBelow(random_, 1000) / 1000;
+  // Random between half and one and a half intervals, so that hosts that
+  // started at the same time do not stay synchronized.
+  next_digest_ = now + options_.digest_interval / 2 +
+                 options_.digest_interval * UniformBelow(random_, 1000) / 1000;
   if (peers_.empty()) {
     return;
   }
-  const auto chosen =
+  const auto index =
       UniformBelow(random_, static_cast<std::uint32_t>(peers_.size()));
-  SendDigest(std::next(peers_.begin(), chosen)->first, false, out);
+  SendDigest(std::next(peers_.begin(), index)->first, false, out);
 }
 
 void DocumentStore::AskAll(Outbox& out) {
@@ -169,7 +170,7 @@
   });
 }
 
-// The peers that are not known to have all of it, a few of them at random.
+// Sends the digest to random peers that are not known to have all versions.
 void DocumentStore::Announce(Outbox& out) {
   std::vector<HostId> behind;
   for (const auto& [peer, known] : peers_) {
@@ -181,19 +182,21 @@
     }
   }
   for (std::size_t n = 0; n < options_.fanout && !behind.empty(); ++n) {
-    const auto chosen =
+    const auto index =
         UniformBelow(random_, static_cast<std::uint32_t>(behind.size()));
-    SendDigest(behind[chosen], false, out);
-    behind.erase(behind.begin() + chosen);
+    SendDigest(behind[index], false, out);
+    behind.erase(behind.begin() + index);
   }
 }
 
-void DocumentStore::SendDigest(const HostId& to, bool answer, Outbox& out) {
+void DocumentStore::SendDigest(const HostId& to,
+                               bool request_answer,
+                               Outbox& out) {
   DocumentDigest digest;
   for (std::size_t n = 0; n < kDocumentCount; ++n) {
     digest.versions[n] = slots_[n].version;
   }
-  digest.answer = answer;
+  digest.answer = request_answer;
   ++counters_.digests_sent;
   out.Send(to, digest);
 }
@@ -206,38 +209,41 @@
   if (peer != peers_.end()) {
     peer->second = digest.versions;
   }
-  bool ahead = false;
+  bool sender_is_behind = false;
   for (std::size_t n = 0; n < kDocumentCount; ++n) {
-    AskIfBehind(from, static_cast<DocumentName>(n), digest.versions[n], now,
-                out);
-    ahead = ahead || digest.versions[n] < slots_[n].version;
+    RequestIfNewer(from, static_cast<DocumentName>(n), digest.versions[n], now,
+                   out);
+    sender_is_behind =
+        sender_is_behind || digest.versions[n] < slots_[n].version;
   }
-  // Telling the sender that it is behind lets it ask where it has not asked
-  // somebody else already.
-  if (digest.answer || ahead) {
+  // A sender that is behind may request the new versions from this host, unless
+  // it already has requested them from another one.
+  if (digest.answer || sender_is_behind) {
     SendDigest(from, false, out);
   }
 }
 
-void DocumentStore::AskIfBehind(const HostId& from,
-                                DocumentName name,
-                                const DocumentVersion& theirs,
-                                TimePoint now,
-                                Outbox& out) {
+void DocumentStore::RequestIfNewer(const HostId& from,
+                                   DocumentName name,
+                                   const DocumentVersion& theirs,
+                                   TimePoint now,
+                                   Outbox& out) {
   Slot& slot = SlotOf(name);
   if (theirs <= slot.version) {
     return;
   }
-  // A daemon of another version may hold for good what this one refuses.
+  // A peer that runs another version of the daemon may accept a document that
+  // this host refuses, and would offer it in every digest.
   if (slot.refused && theirs <= slot.refused->version &&
-      now - slot.refused->when < options_.refused_retry) {
+      now - slot.refused->when < options_.refused_retry_delay) {
     return;
   }
-  if (theirs <= slot.asked_version && now - slot.asked < options_.ask_timeout) {
+  if (theirs <= slot.requested_version &&
+      now - slot.requested_at < options_.request_timeout) {
     return;
   }
-  slot.asked = now;
-  slot.asked_version = theirs;
+  slot.requested_at = now;
+  slot.requested_version = theirs;
   ++counters_.asks_sent;
   out.Send(from, DocumentAsk{name, slot.version});
 }
--- a/fleet/document_store.h
+++ b/fleet/document_store.h
@@ -15,45 +15,49 @@
 namespace damasktack {
 
 struct DocumentStoreOptions {
-  // How often this host sends its digest to a peer drawn at random.
-  Duration digest = std::chrono::milliseconds(500);
-  // Peers that hear of a new revision at once.
+  // Mean interval at which this host sends its digest to a random peer.
+  Duration digest_interval = std::chrono::milliseconds(500);
+  // Number of peers to which a new version is announced at once.
   std::size_t fanout = 4;
-  // How long an ask may stay unanswered before another peer is asked.
-  Duration ask_timeout = std::chrono::seconds(2);
-  // How long a refused revision is not asked for again.
-  Duration refused_retry = std::chrono::seconds(30);
+  // Timeout of a request, after which another peer is asked.
+  Duration request_timeout = std::chrono::seconds(2);
+  // Time for which a refused version is not requested again.
+  Duration refused_retry_delay = std::chrono::seconds(30);
 };
 
-// A value that failed its checks; the last good one stays in force.
+// Describes a version that failed its check. The last valid version stays in
+// force.
 struct DocumentRefusal {
   DocumentVersion version;
   Error error;
   TimePoint when;
 };
 
+// Where an offered document came from.
 enum class DocumentOrigin : std::uint8_t { kPlatform, kPeer };
 
 struct DocumentCounters {
   std::uint64_t accepted = 0;
-  // Older than what is in force, by who offered it.
+  // Documents offered that were older than the one in force, by origin.
   std::uint64_t stale_from_platform = 0;
   std::uint64_t stale_from_peers = 0;
   std::uint64_t refused = 0;
-  // The same revision with another content.
+  // Documents offered with the revision in force but a different body.
   std::uint64_t conflicts = 0;
   std::uint64_t digests_sent = 0;
   std::uint64_t asks_sent = 0;
   std::uint64_t pushes_sent = 0;
 };
 
-// What is in force on this host and how it spreads. Revisions only go up, so a
-// restarted host, a stale platform or an old peer cannot bring back an older
-// value; values are whole, so what was removed stays removed.
+// Stores the documents in force on this host and distributes them to its peers.
+// Revisions only increase, so a restarted host, a stale platform or an outdated
+// peer cannot bring back an older version. Each version is complete, so removed
+// entries stay removed.
 //
-// Spreading: a host that takes a new revision announces it by its digest to a
-// few random peers; one that is behind asks one announcer and gets the body
-// once. A digest to a random peer now and then finds whoever was missed.
+// Distribution is by gossip: a host that accepts a new version announces it by
+// sending its digest to a few random peers. A peer that is behind requests the
+// body from one of the announcers, so that it is transferred once. Digests sent
+// to random peers at intervals reach hosts that missed the announcements.
 class DocumentStore {
  public:
   using Check = std::function<leaf::result<void>(const Document&)>;
@@ -62,9 +66,10 @@
                 Check check,
                 std::uint64_t random_seed);
 
-  // Takes the value if its version is higher than the one in force and it
-  // passes the check; true where it is now in force. For the same revision
-  // with another content the higher hash wins, on every host.
+  // Puts the document in force if its version is higher than the current one
+  // and it passes the check. Returns whether it did. Of two documents with the
+  // same revision and different bodies, the one with the higher hash wins on
+  // every host.
   bool Offer(Document document,
              DocumentOrigin origin,
              TimePoint now,
@@ -77,15 +82,19 @@
                  Outbox& out);
   void Tick(TimePoint now, Outbox& out);
 
-  // Forgets what peers have and asks all of them; see HasHeardAll.
+  // Clears the known versions of the peers and requests the digests of all; see
+  // HasHeardAll.
   void AskAll(Outbox& out);
-  // Whether every peer that is linked now has sent its digest since AskAll or
-  // since its link came up, and this host has all that they announced.
+  // Returns whether every connected peer has sent its digest since AskAll or
+  // since it connected, and this host has all versions that they announced or
+  // has refused them.
   bool HasHeardAll() const;
 
-  // Null where none is in force.
+  // Null if none is in force.
   std::shared_ptr<const Document> InForce(DocumentName name) const;
+  // 0 if none is in force.
   Revision RevisionOf(DocumentName name) const;
+  // The last version that failed its check, unless a higher one was accepted.
   const std::optional<DocumentRefusal>& Refused(DocumentName name) const;
   const DocumentCounters& counters() const { return counters_; }
 
@@ -96,9 +105,9 @@
     std::shared_ptr<const Document> in_force;
     DocumentVersion version;
     std::optional<DocumentRefusal> refused;
-    // The last ask that is not yet answered.
-    TimePoint asked;
-    DocumentVersion asked_version;
+    // The last request that is not answered yet.
+    TimePoint requested_at;
+    DocumentVersion requested_version;
   };
 
   Slot& SlotOf(DocumentName name);
@@ -108,24 +117,24 @@
                    const DocumentVersion& version,
                    TimePoint now);
   void Announce(Outbox& out);
-  void SendDigest(const HostId& to, bool answer, Outbox& out);
+  void SendDigest(const HostId& to, bool request_answer, Outbox& out);
   void OnDigest(const HostId& from,
                 const DocumentDigest& digest,
                 TimePoint now,
                 Outbox& out);
-  void AskIfBehind(const HostId& from,
-                   DocumentName name,
-                   const DocumentVersion& theirs,
-                   TimePoint now,
-                   Outbox& out);
+  void RequestIfNewer(const HostId& from,
+                      DocumentName name,
+                      const DocumentVersion& theirs,
+                      TimePoint now,
+                      Outbox& out);
   void Push(const HostId& to, DocumentName name, Outbox& out);
 
   const DocumentStoreOptions options_;
   const Check check_;
   Random random_;
   std::array<Slot, kDocumentCount> slots_;
-  // Peers that can be reached, and what each is known to have; null until its
-  // digest came.
+  // Reachable peers and the versions that each has; null until its digest has
+  // arrived.
   std::map<HostId, std::optional<Versions>> peers_;
   TimePoint next_digest_;
   DocumentCounters counters_;
--- a/fleet/drain_messages.h
+++ b/fleet/drain_messages.h
@@ -9,7 +9,8 @@
 
 namespace damasktack {
 
-// The sender was told by the endpoint itself, a moment ago, that it drains.
+// Tells that an endpoint has recently announced to the sender itself that it is
+// draining.
 struct DrainSighting {
   static constexpr std::string_view kKind = "drain-sighting";
 
--- a/fleet/drain_sightings.cc
+++ b/fleet/drain_sightings.cc
@@ -4,20 +4,20 @@
 
 namespace damasktack {
 
-void DrainSightings::Sighted(const DrainSighting& sighting,
+void DrainSightings::Sighted(const DrainSighting& observation,
                              TimePoint now,
                              Outbox& out) {
-  if (sent_.contains(sighting) || sent_.size() >= kMost) {
+  if (sent_.contains(observation) || sent_.size() >= kMaxObservations) {
     return;
   }
-  sent_.emplace(sighting, now);
+  sent_.emplace(observation, now);
   for (const HostId& it : peers_) {
-    out.Send(it, sighting);
+    out.Send(it, observation);
   }
 }
 
 std::set<DrainSighting> DrainSightings::TakeHeard() {
-  return std::exchange(heard_, {});
+  return std::exchange(received_, {});
 }
 
 void DrainSightings::OnView(const HostView& view,
@@ -35,15 +35,16 @@
                                const PeerMessage& message,
                                TimePoint /*now*/,
                                Outbox& /*out*/) {
-  const auto* sighting = std::get_if<DrainSighting>(&message);
-  if (sighting != nullptr && heard_.size() < kMost) {
-    heard_.insert(*sighting);
+  const auto* observation = std::get_if<DrainSighting>(&message);
+  if (observation != nullptr && received_.size() < kMaxObservations) {
+    received_.insert(*observation);
   }
 }
 
 void DrainSightings::Tick(TimePoint now, Outbox& /*out*/) {
-  std::erase_if(
-      sent_, [&](const auto& entry) { return now - entry.second >= kRepeat; });
+  std::erase_if(sent_, [&](const auto& entry) {
+    return now - entry.second >= kRepeatInterval;
+  });
 }
 
 }  // namespace damasktack
--- a/fleet/drain_sightings.h
+++ b/fleet/drain_sightings.h
@@ -9,20 +9,23 @@
 
 namespace damasktack {
 
-// Passes on which endpoints were seen draining, so that a host that has not
-// called one lately stops too before the list says so. One hop: a host passes
-// on only what an endpoint told it itself. Pure.
+// Tells peers which endpoints have announced that they are draining, so that a
+// host that has not called such an endpoint lately also stops sending to it
+// before the endpoint list says so. A host sends only the announcements made to
+// itself, and peers do not forward them. Does no I/O.
 class DrainSightings {
  public:
-  // The same sighting goes out at most this often; a repeat makes up for a
-  // lost message while the endpoint still says so.
-  static constexpr Duration kRepeat = std::chrono::seconds(1);
-  // Bounds on what is remembered and on what waits for TakeHeard.
-  static constexpr std::size_t kMost = 4096;
-
-  // An endpoint has told this host that it drains.
-  void Sighted(const DrainSighting& sighting, TimePoint now, Outbox& out);
-  // What peers have passed on since the last call.
+  // Minimum interval between two messages on the same endpoint. Messages are
+  // repeated while the endpoint still announces the drain, in case one is lost.
+  static constexpr Duration kRepeatInterval = std::chrono::seconds(1);
+  // Maximum number of observations sent that are remembered, and of those
+  // received that wait for TakeHeard.
+  static constexpr std::size_t kMaxObservations = 4096;
+
+  // Records that an endpoint has announced to this host that it is draining,
+  // and tells the peers.
+  void Sighted(const DrainSighting& observation, TimePoint now, Outbox& out);
+  // Returns and clears the observations received from peers.
   std::set<DrainSighting> TakeHeard();
 
   void OnView(const HostView& view, TimePoint now, Outbox& out);
@@ -34,8 +37,9 @@
 
  private:
   std::vector<HostId> peers_;
+  // Observations sent within the repeat interval, with the time of sending.
   std::map<DrainSighting, TimePoint> sent_;
-  std::set<DrainSighting> heard_;
+  std::set<DrainSighting> received_;
 };
 
 }  // namespace damasktack
--- a/fleet/drained_zones.cc
+++ b/fleet/drained_zones.cc
@@ -3,23 +3,24 @@
 namespace damasktack {
 
 bool DrainedZones::Take(const ZoneDrain& drain, Revision revision) {
-  if (words_.size() >= kMostZones && !words_.contains(drain.zone)) {
+  if (states_.size() >= kMostZones && !states_.contains(drain.zone)) {
     return false;
   }
-  Word& word = words_[drain.zone];
-  if (revision < word.revision) {
+  DrainState& state = states_[drain.zone];
+  if (revision < state.revision) {
     return false;
   }
-  const bool has_changed = word.in_force != drain.in_force;
-  word = {drain.in_force, revision};
+  const bool has_changed = state.in_force != drain.in_force;
+  state = {drain.in_force, revision};
   return has_changed;
 }
 
 bool DrainedZones::Retain(const std::set<ZoneId>& present, Revision current) {
   bool has_changed = false;
-  for (auto& [zone, word] : words_) {
-    if (word.in_force && word.revision <= current && !present.contains(zone)) {
-      word = {false, current};
+  for (auto& [zone, state] : states_) {
+    if (state.in_force && state.revision <= current &&
+        !present.contains(zone)) {
+      state = {false, current};
       has_changed = true;
     }
   }
@@ -28,8 +29,8 @@
 
 std::vector<ZoneId> DrainedZones::InForce() const {
   std::vector<ZoneId> zones;
-  for (const auto& [zone, word] : words_) {
-    if (word.in_force) {
+  for (const auto& [zone, state] : states_) {
+    if (state.in_force) {
       zones.push_back(zone);
     }
   }
@@ -37,18 +38,18 @@
 }
 
 void DrainedZones::AddChangesAfter(Revision after, PublishedItems& out) const {
-  for (const auto& [zone, word] : words_) {
-    if (word.revision > after) {
-      out.items.push_back({word.revision, ZoneDrain{zone, word.in_force}});
+  for (const auto& [zone, state] : states_) {
+    if (state.revision > after) {
+      out.items.push_back({state.revision, ZoneDrain{zone, state.in_force}});
     }
   }
 }
 
 void DrainedZones::AddInForceUpTo(Revision revision,
                                   PublishedItems& out) const {
-  for (const auto& [zone, word] : words_) {
-    if (word.in_force && word.revision <= revision) {
-      out.items.push_back({word.revision, ZoneDrain{zone, true}});
+  for (const auto& [zone, state] : states_) {
+    if (state.in_force && state.revision <= revision) {
+      out.items.push_back({state.revision, ZoneDrain{zone, true}});
     }
   }
 }
--- a/fleet/drained_zones.h
+++ b/fleet/drained_zones.h
@@ -9,34 +9,37 @@
 
 namespace damasktack {
 
-// The zones that the operator has drained, as one host believes. Pure. What is
-// known of a zone only goes up in revisions, and a drain that was taken back is
-// remembered as such, so that neither an old read nor a peer that knows less
-// brings it back.
+// Stores which zones the operator has drained, as known to one host. The state
+// of a zone changes only to higher revisions, and the end of a drain is stored
+// too, so that neither an outdated read nor an outdated peer can bring the
+// drain back. Does no I/O.
 class DrainedZones {
  public:
-  // Names that are remembered; no region has as many zones, and keys may be
-  // written by mistake.
+  // Maximum number of zones. More than any region has; bounds the memory if
+  // other keys are written by mistake.
   static constexpr std::size_t kMostZones = 1024;
 
-  // Each returns whether the zones in force have changed.
+  // Take and Retain return whether the set of drained zones has changed.
+  // Applies the state of one zone at a revision.
   bool Take(const ZoneDrain& drain, Revision revision);
-  // A whole read names `present`: other drains up to `current` have ended.
+  // Applies a complete read at revision `current`, which contains the drains of
+  // `present`. Other drains up to `current` have ended.
   bool Retain(const std::set<ZoneId>& present, Revision current);
 
+  // Returns the drained zones.
   std::vector<ZoneId> InForce() const;
-  // What has changed after a revision.
+  // Adds the changes after a revision to `out`.
   void AddChangesAfter(Revision after, PublishedItems& out) const;
-  // The drains that began at a revision or before it and are in force.
+  // Adds the drains in force that began at or before a revision to `out`.
   void AddInForceUpTo(Revision revision, PublishedItems& out) const;
 
  private:
-  struct Word {
+  struct DrainState {
     bool in_force = false;
     Revision revision = 0;
   };
 
-  std::map<ZoneId, Word> words_;
+  std::map<ZoneId, DrainState> states_;
 };
 
 }  // namespace damasktack
--- a/fleet/endpoint_rate_exchange.cc
+++ b/fleet/endpoint_rate_exchange.cc
@@ -16,32 +16,32 @@
   }
 }
 
-void EndpointRateExchange::Tell(const std::vector<StatedRate>& news,
-                                const HostId& but,
-                                TimePoint now,
-                                Outbox& out) const {
+void EndpointRateExchange::SendToPeers(const std::vector<StatedRate>& updates,
+                                       const HostId& excluded,
+                                       TimePoint now,
+                                       Outbox& out) const {
   std::vector<HostId> to;
   for (const auto& [host, incarnation] : peers_) {
-    if (host != but) {
+    if (host != excluded) {
       to.push_back(host);
     }
   }
-  if (!news.empty() && !to.empty()) {
-    out.SendToAll(std::move(to), MakeEndpointRateReport(news, now));
+  if (!updates.empty() && !to.empty()) {
+    out.SendToAll(std::move(to), MakeEndpointRateReport(updates, now));
   }
 }
 
 void EndpointRateExchange::Share(TimePoint now, Outbox& out) {
-  Tell(rates_.TakeNews(), HostId(), now, out);
+  SendToPeers(rates_.TakeNews(), HostId(), now, out);
 }
 
 void EndpointRateExchange::OnReport(const HostId& from,
                                     const EndpointRateReport& report,
                                     TimePoint now,
                                     Outbox& out) {
-  const std::vector<StatedRate> news = rates_.Take(report, now);
-  if (shape_ == FleetShape::kStar) {
-    Tell(news, from, now, out);
+  const std::vector<StatedRate> updates = rates_.Take(report, now);
+  if (topology_ == FleetShape::kStar) {
+    SendToPeers(updates, from, now, out);
   }
 }
 
--- a/fleet/endpoint_rate_exchange.h
+++ b/fleet/endpoint_rate_exchange.h
@@ -12,38 +12,41 @@
 
 namespace damasktack {
 
-// How what hosts say to each other spreads.
+// The connections between the hosts of a fleet.
 enum class FleetShape : std::uint8_t {
-  // All hosts are linked: each tells all others what it was told itself.
+  // Full mesh. A host sends the statements made to itself to all others.
   kMesh,
-  // Hosts are linked to a few that pass on what is new to them.
+  // Hosts are connected to a few seeds, which relay statements that are new to
+  // them.
   kStar,
 };
 
-// Exchanges the rate limits that endpoints state, so that hosts keep to their
-// part of a limit before they have met it themselves. Not thread-safe; the
-// rates are.
+// Exchanges the rate limits stated by endpoints with other hosts, so that a
+// host keeps to its share of a limit before the endpoint has stated the limit
+// to it. Not thread-safe; EndpointRates is.
 class EndpointRateExchange {
  public:
-  EndpointRateExchange(EndpointRates& rates, FleetShape shape)
-      : rates_(rates), shape_(shape) {}
+  EndpointRateExchange(EndpointRates& rates, FleetShape topology)
+      : rates_(rates), topology_(topology) {}
 
-  // Runs when there is news to Share, on the thread that brought it.
-  void SetOnNews(std::function<void()> on_news) {
-    rates_.SetOnNews(std::move(on_news));
+  // Sets a function that runs when there are updates to share, on the thread
+  // that caused them.
+  void SetOnNews(std::function<void()> on_updates) {
+    rates_.SetOnNews(std::move(on_updates));
   }
 
-  // A peer that has no link yet hears of all limits in force.
+  // Adds a peer and sends it all limits in force. Does nothing if the peer is
+  // known.
   void OnPeer(const HostId& host, TimePoint now, Outbox& out);
   void OnPeerGone(const HostId& host) { peers_.erase(host); }
   void OnReport(const HostId& from,
                 const EndpointRateReport& report,
                 TimePoint now,
                 Outbox& out);
-  // Tells the peers what this host was told since the last call.
+  // Sends the statements made to this host since the last call to its peers.
   void Share(TimePoint now, Outbox& out);
 
-  // As a module of a fleet in which all hosts are linked.
+  // The FleetModule interface, for a fleet that is a full mesh.
   void OnView(const HostView& view, TimePoint now, Outbox& out);
   void OnMessage(const Sender& sender,
                  const PeerMessage& message,
@@ -52,14 +55,14 @@
   void Tick(TimePoint now, Outbox& out) { Share(now, out); }
 
  private:
-  void Tell(const std::vector<StatedRate>& news,
-            const HostId& but,
-            TimePoint now,
-            Outbox& out) const;
+  void SendToPeers(const std::vector<StatedRate>& updates,
+                   const HostId& excluded,
+                   TimePoint now,
+                   Outbox& out) const;
 
   EndpointRates& rates_;
-  const FleetShape shape_;
-  // With the process of each where the fleet tells it.
+  const FleetShape topology_;
+  // The peers and their incarnations; 0 if the incarnation is not known.
   std::map<HostId, Incarnation> peers_;
 };
 
--- a/fleet/endpoint_rate_messages.cc
+++ b/fleet/endpoint_rate_messages.cc
@@ -14,10 +14,10 @@
 using detail::ReadTime;
 using detail::ToMicroseconds;
 
-// Far beyond any clock.
+// Upper bound for plausible start times.
 constexpr std::int64_t kLatestStartMs = 1'000'000'000'000'000;
-constexpr double kHighestRate = 1e9;
-// In place of a rate where there is none.
+constexpr double kMaxRate = 1e9;
+// Stands for "no limit" in the message.
 constexpr double kNoRate = -1;
 
 }  // namespace
@@ -25,7 +25,7 @@
 Json EndpointRateReport::Statement::ToJson() const {
   return Json{{"endpoint", endpoint.id.text()},
               {"started_at_ms", endpoint.started_at.time_since_epoch().count()},
-              {"rate", std::min(rate_limit.value_or(kNoRate), kHighestRate)},
+              {"rate", std::min(rate_limit.value_or(kNoRate), kMaxRate)},
               {"age_us", ToMicroseconds(age)}};
 }
 
@@ -39,7 +39,7 @@
   JsonReader reader(json, path);
   reader.Read("endpoint", endpoint);
   reader.Read("started_at_ms", started_at_ms, 0, kLatestStartMs);
-  reader.Read("rate", rate, kNoRate, kHighestRate);
+  reader.Read("rate", rate, kNoRate, kMaxRate);
   ReadTime(reader, "age_us", statement.age);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   statement.endpoint = {
--- a/fleet/endpoint_rate_messages.h
+++ b/fleet/endpoint_rate_messages.h
@@ -12,14 +12,15 @@
 
 namespace damasktack {
 
-// Which rate limits endpoints have stated in their answers, and which they have
-// taken back. Times are told as ages: hosts' clocks differ.
+// Reports rate limits that endpoints have stated in their answers or withdrawn.
+// Times are sent as ages, as the clocks of hosts differ.
 struct EndpointRateReport {
   static constexpr std::string_view kKind = "endpoint-rates";
 
   struct Statement {
     EndpointProcess endpoint;
-    // Requests a second from all hosts; null where it states none any more.
+    // Requests per second from all hosts together; null if the endpoint states
+    // no limit any more.
     std::optional<double> rate_limit;
     Duration age{};
 
--- a/fleet/endpoint_rates.cc
+++ b/fleet/endpoint_rates.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-// A limit that has been in force for longer is told as this old.
-constexpr Duration kOldest = std::chrono::hours(24);
+// Ages in reports are capped at this.
+constexpr Duration kMaxReportedAge = std::chrono::hours(24);
 
 void LogStated(const StatedRate& stated, std::string_view source) {
   spdlog::info(
@@ -20,8 +20,8 @@
       stated.rate_limit ? std::to_string(*stated.rate_limit) : "none", source);
 }
 
-// What is known of a process that is not listed is kept for so long.
-constexpr Duration kUnlistedKept = std::chrono::seconds(60);
+// Minimum time for which the statement of an unlisted process is stored.
+constexpr Duration kUnlistedRetention = std::chrono::seconds(60);
 
 }  // namespace
 
@@ -29,99 +29,100 @@
                                           TimePoint now) {
   EndpointRateReport report;
   for (const StatedRate& it : rates) {
-    const Duration age = std::clamp(now - it.at, Duration::zero(), kOldest);
+    const Duration age =
+        std::clamp(now - it.at, Duration::zero(), kMaxReportedAge);
     report.statements.push_back({it.endpoint, it.rate_limit, age});
   }
   return report;
 }
 
-void EndpointRates::SetOnNews(std::function<void()> on_news) {
+void EndpointRates::SetOnNews(std::function<void()> on_updates) {
   const std::lock_guard lock(mutex_);
-  on_news_ = std::move(on_news);
+  on_updates_ = std::move(on_updates);
 }
 
 void EndpointRates::SetOnHeard(
-    std::function<void(const StatedRate&)> on_heard) {
+    std::function<void(const StatedRate&)> on_received) {
   const std::lock_guard lock(mutex_);
-  on_heard_ = std::move(on_heard);
+  on_received_ = std::move(on_received);
 }
 
-bool EndpointRates::Keep(const StatedRate& stated) {
+bool EndpointRates::Update(const StatedRate& stated) {
   const auto known = rates_.find(stated.endpoint);
   if (known == rates_.end()) {
     if (!stated.rate_limit) {
       return false;
     }
-    MakeRoom();
+    EvictOldestIfFull();
     rates_.emplace(stated.endpoint, stated);
     return true;
   }
   if (stated.at <= known->second.at) {
     return false;
   }
-  const bool is_news = known->second.rate_limit != stated.rate_limit;
+  const bool has_changed = known->second.rate_limit != stated.rate_limit;
   known->second = stated;
-  return is_news;
+  return has_changed;
 }
 
-void EndpointRates::MakeRoom() {
-  if (rates_.size() < kMost) {
+void EndpointRates::EvictOldestIfFull() {
+  if (rates_.size() < kMaxEndpoints) {
     return;
   }
   const auto oldest = std::ranges::min_element(
       rates_, {}, [](const auto& it) { return it.second.at; });
-  untold_.erase(oldest->first);
+  unshared_.erase(oldest->first);
   rates_.erase(oldest);
 }
 
 void EndpointRates::OnStated(const StatedRate& stated) {
-  std::function<void()> on_news;
+  std::function<void()> on_updates;
   {
     const std::lock_guard lock(mutex_);
-    if (Keep(stated)) {
-      untold_.insert(stated.endpoint);
+    if (Update(stated)) {
+      unshared_.insert(stated.endpoint);
     }
-    if (!untold_.empty() && budget_.Take(stated.at)) {
-      on_news = on_news_;
+    if (!unshared_.empty() && budget_.Take(stated.at)) {
+      on_updates = on_updates_;
       LogStated(stated, "endpoint");
     }
   }
-  if (on_news) {
-    on_news();
+  if (on_updates) {
+    on_updates();
   }
 }
 
 std::vector<StatedRate> EndpointRates::TakeNews() {
   const std::lock_guard lock(mutex_);
-  std::vector<StatedRate> news;
-  for (const EndpointProcess& it : std::exchange(untold_, {})) {
-    news.push_back(rates_.at(it));
+  std::vector<StatedRate> updates;
+  for (const EndpointProcess& it : std::exchange(unshared_, {})) {
+    updates.push_back(rates_.at(it));
   }
-  return news;
+  return updates;
 }
 
 std::vector<StatedRate> EndpointRates::Take(const EndpointRateReport& report,
                                             TimePoint now) {
-  std::vector<StatedRate> news;
-  std::function<void(const StatedRate&)> on_heard;
+  std::vector<StatedRate> updates;
+  std::function<void(const StatedRate&)> on_received;
   {
     const std::lock_guard lock(mutex_);
     for (const EndpointRateReport::Statement& it : report.statements) {
       const StatedRate stated{it.endpoint, it.rate_limit, now - it.age};
-      if (Keep(stated)) {
-        untold_.erase(it.endpoint);
-        news.push_back(stated);
+      if (Update(stated)) {
+        unshared_.erase(it.endpoint);
+        updates.push_back(stated);
       }
     }
-    on_heard = on_heard_;
+    on_received = on_received_;
   }
-  for (const StatedRate& it : news) {
+  for (const StatedRate& it : updates) {
     LogStated(it, "peer");
-    if (on_heard) {
-      on_heard(it);
+    if (on_received) {
+      on_received(it);
     }
   }
-  return news;
+  return updates;
 }
 
 std::vector<StatedRate> EndpointRates::InForce() const {
@@ -140,12 +141,12 @@
     TimePoint now) {
   const std::lock_guard lock(mutex_);
   std::erase_if(rates_, [&](const auto& it) {
-    const bool is_forgotten =
-        now - it.second.at >= kUnlistedKept && !is_listed(it.first);
-    if (is_forgotten) {
-      untold_.erase(it.first);
+    const bool is_removed =
+        now - it.second.at >= kUnlistedRetention && !is_listed(it.first);
+    if (is_removed) {
+      unshared_.erase(it.first);
     }
-    return is_forgotten;
+    return is_removed;
   });
 }
 
--- a/fleet/endpoint_rates.h
+++ b/fleet/endpoint_rates.h
@@ -13,12 +13,13 @@
 
 namespace damasktack {
 
-// What an endpoint said last of the rate that it takes.
+// The last statement of an endpoint about the request rate that it accepts.
 struct StatedRate {
   EndpointProcess endpoint;
-  // Requests a second from all hosts; null where it states no limit any more.
+  // Requests per second from all hosts together; null if the endpoint states no
+  // limit any more.
   std::optional<double> rate_limit;
-  // By this host's clock.
+  // The time of the statement by this host's clock.
   TimePoint at;
 
   bool operator==(const StatedRate&) const = default;
@@ -27,51 +28,53 @@
 EndpointRateReport MakeEndpointRateReport(const std::vector<StatedRate>& rates,
                                           TimePoint now);
 
-// The rate limits that endpoints state, as this host and its peers were told;
-// the newest statement on each endpoint counts. Safe to use from several
-// threads.
+// Stores the rate limits that endpoints have stated to this host and its peers.
+// The latest statement of each endpoint applies. Thread-safe.
 class EndpointRates {
  public:
-  // Endpoints that are remembered; the oldest statement makes room.
-  static constexpr std::size_t kMost = 1024;
-  // News a second that one host tells, and at once: what bounds its messages
-  // where endpoints change their minds with each answer. What has to wait is
-  // told with the next change.
+  // Maximum number of endpoints. If exceeded, the oldest statement is evicted.
+  static constexpr std::size_t kMaxEndpoints = 1024;
+  // Rate limit and burst of the updates that one host sends. Bounds its
+  // messages if endpoints change their limit with every answer. An update over
+  // the limit is sent with the next change.
   static constexpr double kNewsPerSecond = 5;
   static constexpr double kNewsAtOnce = 20;
 
-  // An endpoint itself has told this host of a change.
+  // Records a statement that an endpoint made to this host.
   void OnStated(const StatedRate& stated);
-  // Takes in what a peer has told; returns what of it was news.
+  // Adds the statements in a peer's report; returns those that changed a limit.
   std::vector<StatedRate> Take(const EndpointRateReport& report, TimePoint now);
-  // What this host was told itself since the last call.
+  // Returns and clears the statements made to this host since the last call.
   std::vector<StatedRate> TakeNews();
-  // All limits in force.
+  // Returns all limits in force.
   std::vector<StatedRate> InForce() const;
 
-  // Forgets processes that are not listed, unless they were heard of just now:
-  // their entry may still be on its way.
+  // Removes processes that are not listed, except those with a recent
+  // statement, whose list entry may not have arrived yet.
   void ForgetUnlisted(
       const std::function<bool(const EndpointProcess&)>& is_listed,
       TimePoint now);
 
-  // Run on the thread that brought the news, outside the lock. To be set before
-  // the first statement, or with no statement under way.
-  void SetOnNews(std::function<void()> on_news);
-  void SetOnHeard(std::function<void(const StatedRate&)> on_heard);
+  // Set functions that run when there are updates to share, and when a peer's
+  // report changed a limit. They run on the thread that caused it, without the
+  // mutex held. To be set before the first statement, or while no statement is
+  // being processed.
+  void SetOnNews(std::function<void()> on_updates);
+  void SetOnHeard(std::function<void(const StatedRate&)> on_received);
 
  private:
-  // Whether it says something that was not known; the caller holds the lock.
-  bool Keep(const StatedRate& stated);
-  void MakeRoom();
+  // Stores a statement; returns whether it changes the known limit. The caller
+  // must hold the mutex.
+  bool Update(const StatedRate& stated);
+  void EvictOldestIfFull();
 
   mutable std::mutex mutex_;
   std::map<EndpointProcess, StatedRate> rates_;
-  // Those that peers have not been told of.
-  std::set<EndpointProcess> untold_;
+  // Endpoints with updates that have not been sent to peers.
+  std::set<EndpointProcess> unshared_;
   TokenBucket budget_{kNewsPerSecond, kNewsAtOnce};
-  std::function<void()> on_news_;
-  std::function<void(const StatedRate&)> on_heard_;
+  std::function<void()> on_updates_;
+  std::function<void(const StatedRate&)> on_received_;
 };
 
 }  // namespace damasktack
--- a/fleet/request_quarantine.cc
+++ b/fleet/request_quarantine.cc
@@ -12,8 +12,9 @@
 
 namespace {
 
-// Sightings in one report, and news that wait to be taken.
-constexpr std::size_t kMostSightings = 1024;
+// Maximum number of sightings in one report, and of updates waiting for
+// TakeNews.
+constexpr std::size_t kMaxSightings = 1024;
 
 Duration AgeOf(TimePoint at, TimePoint now) {
   return std::max<Duration>(now - at, Duration::zero());
@@ -21,12 +22,12 @@
 
 }  // namespace
 
-CrashReport MakeCrashReport(const CrashNews& news, TimePoint now) {
+CrashReport MakeCrashReport(const CrashNews& updates, TimePoint now) {
   CrashReport report;
-  for (const CrashSighting& it : news.sightings) {
+  for (const CrashSighting& it : updates.sightings) {
     report.sightings.push_back({it.request, it.endpoint, AgeOf(it.at, now)});
   }
-  for (const CrashNews::Cleared& it : news.cleared) {
+  for (const CrashNews::Cleared& it : updates.cleared) {
     report.cleared.push_back({it.request.request, AgeOf(it.request.at, now)});
   }
   return report;
@@ -96,8 +97,8 @@
     if (crashes == 0) {
       return;
     }
-    if (news_.cleared.size() < kMostSightings) {
-      news_.cleared.push_back({cleared, crashes});
+    if (updates_.cleared.size() < kMaxSightings) {
+      updates_.cleared.push_back({cleared, crashes});
     }
     spdlog::info("event=request-cleared request={} crashes={}",
                  ToString(request), crashes);
@@ -105,16 +106,15 @@
   TellNews();
 }
 
-// A host without peers has nobody who takes the news.
+// The size is bounded, as nothing takes the updates on a host without peers.
 void RequestQuarantine::KeepNews(const CrashSighting& sighting) {
-  if (news_.sightings.size() < kMostSightings) {
-    news_.sightings.push_back(sighting);
+  if (updates_.sightings.size() < kMaxSightings) {
+    updates_.sightings.push_back(sighting);
   }
-  LogWhereQuarantined(sighting);
+  LogIfQuarantined(sighting);
 }
 
-void RequestQuarantine::LogWhereQuarantined(
-    const CrashSighting& sighting) const {
+void RequestQuarantine::LogIfQuarantined(const CrashSighting& sighting) const {
   if (ledger_.IsCulprit(sighting.request)) {
     spdlog::warn("event=request-quarantined request={} crashes={} endpoint={}",
                  ToString(sighting.request),
@@ -123,55 +123,55 @@
   }
 }
 
-void RequestQuarantine::SetOnNews(std::function<void()> on_news) {
+void RequestQuarantine::SetOnNews(std::function<void()> on_updates) {
   const std::lock_guard lock(mutex_);
-  on_news_ = std::move(on_news);
+  on_updates_ = std::move(on_updates);
 }
 
 void RequestQuarantine::TellNews() {
-  std::function<void()> on_news;
+  std::function<void()> on_updates;
   {
     const std::lock_guard lock(mutex_);
-    on_news = on_news_;
+    on_updates = on_updates_;
   }
-  if (on_news) {
-    on_news();
+  if (on_updates) {
+    on_updates();
   }
 }
 
 CrashNews RequestQuarantine::TakeNews() {
   const std::lock_guard lock(mutex_);
-  return std::exchange(news_, {});
+  return std::exchange(updates_, {});
 }
 
 CrashNews RequestQuarantine::Take(const CrashReport& report, TimePoint now) {
-  CrashNews news;
+  CrashNews updates;
   const std::lock_guard lock(mutex_);
   for (const CrashReport::Sighting& it : report.sightings) {
     const CrashSighting sighting{it.request, it.endpoint, now - it.age};
     if (ledger_.Add(sighting, now)) {
-      news.sightings.push_back(sighting);
-      LogWhereQuarantined(sighting);
+      updates.sightings.push_back(sighting);
+      LogIfQuarantined(sighting);
     }
   }
   for (const CrashReport::Cleared& it : report.cleared) {
     const ClearedRequest cleared{it.request, now - it.age};
     const std::size_t crashes = ledger_.Clear(cleared, now);
     if (crashes > 0) {
-      news.cleared.push_back({cleared, crashes});
+      updates.cleared.push_back({cleared, crashes});
     }
   }
   NoteSize();
-  return news;
+  return updates;
 }
 
-CrashReport RequestQuarantine::Evidence(std::size_t least,
+CrashReport RequestQuarantine::Evidence(std::size_t min_crashes,
                                         TimePoint now) const {
   const std::lock_guard lock(mutex_);
   CrashNews all;
-  for (const RequestFingerprint request : ledger_.Suspects(least)) {
+  for (const RequestFingerprint request : ledger_.Suspects(min_crashes)) {
     const std::vector<CrashSighting> sightings = ledger_.SightingsOf(request);
-    if (all.sightings.size() + sightings.size() > kMostSightings) {
+    if (all.sightings.size() + sightings.size() > kMaxSightings) {
       break;
     }
     std::ranges::copy(sightings, std::back_inserter(all.sightings));
--- a/fleet/request_quarantine.h
+++ b/fleet/request_quarantine.h
@@ -14,11 +14,11 @@
 
 namespace damasktack {
 
-// What this host has found out and its peers may not know.
+// Findings of this host that its peers may not have yet.
 struct CrashNews {
   struct Cleared {
     ClearedRequest request;
-    // Confirmed crashes that spoke against it.
+    // Number of confirmed crashes in which it was involved.
     std::size_t crashes = 0;
   };
 
@@ -28,48 +28,52 @@
   bool empty() const { return sightings.empty() && cleared.empty(); }
 };
 
-CrashReport MakeCrashReport(const CrashNews& news, TimePoint now);
+CrashReport MakeCrashReport(const CrashNews& updates, TimePoint now);
 
-// Keeps requests that crash endpoints from being sent to more of them, on
-// evidence of this host and of its peers. Safe to use from several threads.
+// Quarantines requests that crash endpoints, so that they are not sent to more
+// endpoints, by the evidence of this host and its peers. Thread-safe.
 class RequestQuarantine {
  public:
-  // Endpoints that one host checks a second, and at once: what bounds its
-  // connections for checks and its messages.
+  // Rate limit and burst of endpoint checks on one host. Bounds the connections
+  // for checks and the messages about their results.
   static constexpr double kChecksPerSecond = 20;
   static constexpr double kChecksAtOnce = 40;
 
   explicit RequestQuarantine(CrashLedgerOptions options = {});
 
-  // False where no request is suspected, so that there is nothing to judge.
+  // Returns whether any request is suspected. If not, Judge need not be called.
   bool HoldsAny() const { return holds_any_; }
   RequestJudgement Judge(RequestFingerprint request, TimePoint now);
 
-  // A call to an endpoint broke. True where the caller is to find out whether
-  // the endpoint has ended, and to tell the outcome by one of the next two.
+  // Records that the connection of a call to an endpoint broke. If true, the
+  // caller must check whether the endpoint process has ended, and report the
+  // result by OnEndpointEnded or OnEndpointAlive.
   bool OnBroken(const CrashSighting& sighting);
   void OnEndpointEnded(const EndpointProcess& endpoint);
   void OnEndpointAlive(const EndpointProcess& endpoint);
+  // Clears a request that an endpoint has answered.
   void OnAnswered(RequestFingerprint request, TimePoint now);
 
-  // Runs on the thread that brought news, outside the lock.
-  void SetOnNews(std::function<void()> on_news);
-  // News since the last call.
+  // Sets a function that runs when there are updates, on the thread that caused
+  // them and without the mutex held.
+  void SetOnNews(std::function<void()> on_updates);
+  // Returns and clears the findings of this host since the last call.
   CrashNews TakeNews();
-  // Takes in what a peer has found out; returns what of it was news.
+  // Adds the findings of a peer; returns those that were not known.
   CrashNews Take(const CrashReport& report, TimePoint now);
-  // Evidence on requests with `least` crashes or more, those with most first.
-  CrashReport Evidence(std::size_t least, TimePoint now) const;
-  // All evidence on one request.
+  // Returns the evidence on requests with at least `min_crashes` crashes, those
+  // with the most crashes first.
+  CrashReport Evidence(std::size_t min_crashes, TimePoint now) const;
+  // Returns all evidence on one request.
   std::vector<CrashSighting> SightingsOf(RequestFingerprint request) const;
 
-  // The Prometheus text format.
+  // Returns the metrics in the Prometheus text format.
   std::string RenderMetrics() const;
 
  private:
-  // The caller holds the lock in these.
+  // The caller must hold the mutex for the following three.
   void KeepNews(const CrashSighting& sighting);
-  void LogWhereQuarantined(const CrashSighting& sighting) const;
+  void LogIfQuarantined(const CrashSighting& sighting) const;
   void NoteSize() { holds_any_ = !ledger_.empty(); }
 
   void TellNews();
@@ -77,8 +81,8 @@
   mutable std::mutex mutex_;
   CrashLedger ledger_;
   TokenBucket checks_{kChecksPerSecond, kChecksAtOnce};
-  CrashNews news_;
-  std::function<void()> on_news_;
+  CrashNews updates_;
+  std::function<void()> on_updates_;
   std::atomic<bool> holds_any_ = false;
   std::uint64_t endpoints_ended_ = 0;
   std::uint64_t refused_ = 0;
--- a/tests/fleet/crash_star.h
+++ b/tests/fleet/crash_star.h
@@ -14,7 +14,9 @@
 
 namespace damasktack {
 
-// Hosts that follow three seeds in turn, as in a fleet that reads a store.
+// Simulates a star: three connected seeds, and followers that are each
+// connected to one of them, as in a fleet that reads a store. Delivers messages
+// at once.
 class Star {
  public:
   explicit Star(int followers) {
@@ -36,8 +38,8 @@
   static HostId Follower(int n) { return HostId("f" + std::to_string(n)); }
 
   void Link(const HostId& a, const HostId& b) {
-    Meet(a, b);
-    Meet(b, a);
+    AddPeer(a, b);
+    AddPeer(b, a);
     Deliver();
   }
   void Restart(const HostId& host, const HostId& seed) {
@@ -48,17 +50,18 @@
     Add(host);
     Link(host, seed);
   }
-  // An endpoint ends while the host has the request there.
+  // An endpoint crashes while it runs a request from the host.
   void Crash(const HostId& host,
              const EndpointProcess& endpoint,
              RequestFingerprint request) {
-    Break(host, endpoint, request);
+    BreakConnection(host, endpoint, request);
     EndCheck(host, endpoint);
   }
-  // The same in two steps: the call breaks, and a check finds nobody listening.
-  void Break(const HostId& host,
-             const EndpointProcess& endpoint,
-             RequestFingerprint request) {
+  // The two steps of Crash: the connection of the call breaks, and the check
+  // then finds that the endpoint process has ended.
+  void BreakConnection(const HostId& host,
+                       const EndpointProcess& endpoint,
+                       RequestFingerprint request) {
     hosts_.at(host)->quarantine.OnBroken({request, endpoint, now_});
   }
   void EndCheck(const HostId& host, const EndpointProcess& endpoint) {
@@ -73,7 +76,7 @@
     return hosts_.at(host)->quarantine.Judge(request, now_).suspicion;
   }
 
-  int CountThatRefuse(RequestFingerprint request) {
+  int CountHostsThatRefuse(RequestFingerprint request) {
     int count = 0;
     for (auto& [name, it] : hosts_) {
       count += Judge(name, request) == Suspicion::kQuarantined ? 1 : 0;
@@ -81,7 +84,7 @@
     return count;
   }
   TimePoint now() const { return now_; }
-  void Pass(Duration time) { now_ += time; }
+  void AdvanceTime(Duration time) { now_ += time; }
   int hosts() const { return static_cast<int>(hosts_.size()); }
   int frames() const { return frames_; }
   std::size_t bytes() const { return bytes_; }
@@ -100,7 +103,7 @@
   };
 
   void Add(const HostId& host) { hosts_[host] = std::make_unique<Host>(); }
-  void Meet(const HostId& host, const HostId& peer) {
+  void AddPeer(const HostId& host, const HostId& peer) {
     const bool is_seed = peer.text().starts_with("s");
     Outbox out;
     hosts_.at(host)->exchange.OnPeer(
--- a/tests/fleet/test_crash_exchange.cc
+++ b/tests/fleet/test_crash_exchange.cc
@@ -19,38 +19,40 @@
   return {EndpointId("e" + std::to_string(n)), EndpointStart(seconds(n))};
 }
 
-// Three hosts see one crash each; none of them alone would refuse the request.
-TEST_CASE("all hosts refuse a request that crashed endpoints of several") {
+// Three hosts observe one crash each, which is too little evidence for any of
+// them alone to refuse the request.
+TEST_CASE("all hosts refuse a request whose crashes several hosts reported") {
   Star star(20);
   star.Crash(Star::Follower(0), Endpoint(1), kCulprit);
   star.Crash(Star::Follower(1), Endpoint(2), kCulprit);
-  CHECK(star.CountThatRefuse(kCulprit) == 0);
+  CHECK(star.CountHostsThatRefuse(kCulprit) == 0);
   star.Crash(Star::Follower(5), Endpoint(3), kCulprit);
-  CHECK(star.CountThatRefuse(kCulprit) == star.hosts());
+  CHECK(star.CountHostsThatRefuse(kCulprit) == star.hosts());
 }
 
-TEST_CASE("a host that starts hears which requests are refused") {
+TEST_CASE("a starting host receives the evidence on quarantined requests") {
   Star star(4);
   for (int n = 0; n < 3; ++n) {
     star.Crash(Star::Follower(n), Endpoint(n), kCulprit);
   }
   star.Restart(Star::Follower(3), Star::Seed(1));
   star.Restart(Star::Seed(2), Star::Seed(0));
-  CHECK(star.CountThatRefuse(kCulprit) == star.hosts());
+  CHECK(star.CountHostsThatRefuse(kCulprit) == star.hosts());
 }
 
-TEST_CASE("an answer at one host clears the request at all") {
+TEST_CASE("an answer received by one host clears the request on all hosts") {
   Star star(6);
   for (int n = 0; n < 3; ++n) {
     star.Crash(Star::Follower(n), Endpoint(n), kCulprit);
   }
   star.Answer(Star::Follower(4), kCulprit);
-  CHECK(star.CountThatRefuse(kCulprit) == 0);
+  CHECK(star.CountHostsThatRefuse(kCulprit) == 0);
 }
 
-// A common crash of endpoints leaves hundreds of bystanders. Told to everyone,
-// each would cost a frame for each host.
-TEST_CASE("messages on bystanders do not grow with the fleet") {
+// Frequent crashes of endpoints produce hundreds of suspects that are not the
+// cause. If each were reported to every host, each would cost one frame per
+// host.
+TEST_CASE("messages on requests with one crash do not grow with the fleet") {
   constexpr int kCrashes = 100;
   const auto frames_for = [](int followers) {
     Star star(followers);
@@ -61,19 +63,21 @@
     return star.frames();
   };
   CHECK(frames_for(300) == frames_for(30));
-  // To the seed, and from it to the two others, which pass it on to each other.
+  // One to the seed, two from it to the other seeds, and two that these relay
+  // to each other.
   CHECK(frames_for(300) <= 5 * kCrashes);
 }
 
-TEST_CASE("messages on a culprit are a few for each host") {
+TEST_CASE("messages on a quarantined request are few per host") {
   Star star(300);
   for (int n = 0; n < 3; ++n) {
     star.Crash(Star::Follower(n), Endpoint(n), kCulprit);
   }
-  constexpr int kMostFrames = 3;
-  constexpr std::size_t kMostBytes = 1024;
-  CHECK(star.frames() <= kMostFrames * star.hosts());
-  CHECK(star.bytes() <= kMostBytes * static_cast<std::size_t>(star.hosts()));
+  constexpr int kMaxFramesPerHost = 3;
+  constexpr std::size_t kMaxBytesPerHost = 1024;
+  CHECK(star.frames() <= kMaxFramesPerHost * star.hosts());
+  CHECK(star.bytes() <=
+        kMaxBytesPerHost * static_cast<std::size_t>(star.hosts()));
 }
 
 HostView ViewOf(std::initializer_list<std::pair<const char*, Incarnation>> it) {
@@ -85,7 +89,9 @@
   return view;
 }
 
-TEST_CASE("linked hosts tell each other what they saw, and new ones all") {
+TEST_CASE(
+    "hosts in a mesh share their own findings, and all evidence with new "
+    "peers") {
   RequestQuarantine quarantine;
   CrashExchange exchange(quarantine);
   Outbox out;
@@ -96,12 +102,12 @@
   CHECK(out.Take().size() == 2);
   exchange.Tick(kNow, out);
   CHECK(out.Take().empty());
-  // What a peer says is not passed on: it told the others itself.
+  // A peer's report is not relayed, as the peer sends it to all hosts itself.
   exchange.OnMessage(
       {HostId("a"), 1},
       CrashReport{{{kCulprit, Endpoint(2), Duration::zero()}}, {}}, kNow, out);
   CHECK(out.Take().empty());
-  // A new process knows nothing.
+  // A restarted process has no evidence, so it gets all.
   exchange.OnView(ViewOf({{"a", 1}, {"b", 2}}), kNow, out);
   const auto sent = out.Take();
   REQUIRE(sent.size() == 1);
@@ -109,7 +115,7 @@
   CHECK(std::get<CrashReport>(sent[0].message).sightings.size() == 2);
 }
 
-TEST_CASE("a crash report survives the wire") {
+TEST_CASE("a crash report is decoded as it was encoded") {
   const CrashReport report{
       {{kCulprit, Endpoint(1), std::chrono::milliseconds(250)}},
       {{RequestFingerprint{~0ULL}, Duration::zero()}}};
@@ -123,8 +129,9 @@
   CHECK(std::get<CrashReport>(*decoded) == report);
 }
 
-// Endpoints that break thousands of calls a second, and a host without peers.
-TEST_CASE("checks and what waits for peers are bounded") {
+// Endpoints break thousands of connections per second, and the host has no
+// peers that take its updates.
+TEST_CASE("endpoint checks and updates waiting for peers are bounded") {
   RequestQuarantine quarantine;
   int checks = 0;
   for (int n = 0; n < 10'000; ++n) {
--- a/tests/fleet/test_crash_replay.cc
+++ b/tests/fleet/test_crash_replay.cc
@@ -15,9 +15,9 @@
 
 using std::chrono::milliseconds;
 
-// Replays the load of a service with fifteen endpoints of six slots: callers
-// that ask the same every two seconds, and one request that crashes whatever
-// runs it and comes again, at any host.
+// Simulates the load of a service with fifteen endpoints of six slots each.
+// Every caller repeats its own request every two seconds, and one request
+// crashes every endpoint that runs it. Requests arrive at random hosts.
 class CrashReplay {
  public:
   explicit CrashReplay(std::uint64_t seed) : random_(seed), star_(kFollowers) {
@@ -25,15 +25,15 @@
       endpoints_.push_back({Process(n), star_.now()});
     }
     for (int n = 0; n < kCallers; ++n) {
-      next_[Caller(n)] = star_.now() + Upto(kEvery);
+      next_[Caller(n)] = star_.now() + RandomBelow(kCallInterval);
     }
-    next_[kCulprit] = star_.now() + Upto(kCulpritEvery);
+    next_[kCulprit] = star_.now() + RandomBelow(kCulpritInterval);
   }
 
   void Run(Duration time) {
     const TimePoint end = star_.now() + time;
     while (star_.now() < end) {
-      star_.Pass(kStep);
+      star_.AdvanceTime(kStep);
       EndCalls();
       EndChecks();
       BeginCalls();
@@ -41,10 +41,13 @@
   }
 
   int crashes() const { return crashes_; }
-  // Calls of others that were refused, and those that were answered.
-  int wronged() const { return wronged_; }
+  // Calls other than the crashing request that were refused, and that were
+  // answered.
+  int wrongly_refused() const { return wrongly_refused_; }
   int answered() const { return answered_; }
-  bool AllRefuse() { return star_.CountThatRefuse(kCulprit) == star_.hosts(); }
+  bool AllRefuse() {
+    return star_.CountHostsThatRefuse(kCulprit) == star_.hosts();
+  }
 
  private:
   static constexpr int kFollowers = 14;
@@ -53,11 +56,11 @@
   static constexpr int kCallers = 450;
   static constexpr RequestFingerprint kCulprit{1};
   static constexpr milliseconds kStep{10};
-  static constexpr milliseconds kEvery{2000};
-  static constexpr milliseconds kCulpritEvery{600};
+  static constexpr milliseconds kCallInterval{2000};
+  static constexpr milliseconds kCulpritInterval{600};
   static constexpr milliseconds kRunTime{160};
   static constexpr milliseconds kTimeToCrash{80};
-  static constexpr milliseconds kDownFor{3000};
+  static constexpr milliseconds kRestartTime{3000};
   static constexpr milliseconds kCheckTime{200};
 
   struct Call {
@@ -83,15 +86,15 @@
   static RequestFingerprint Caller(int n) {
     return {100U + static_cast<std::uint64_t>(n)};
   }
-  Duration Upto(Duration time) {
-    constexpr std::uint32_t kParts = 1000;
-    return time * UniformBelow(random_, kParts) / kParts;
+  Duration RandomBelow(Duration time) {
+    constexpr std::uint32_t kResolution = 1000;
+    return time * UniformBelow(random_, kResolution) / kResolution;
   }
-  HostId AnyHost() {
+  HostId RandomHost() {
     return Star::Follower(static_cast<int>(UniformBelow(random_, kFollowers)));
   }
 
-  std::size_t InHand(std::size_t endpoint) const {
+  std::size_t CallsAt(std::size_t endpoint) const {
     std::size_t n = 0;
     for (const Call& it : calls_) {
       n += it.endpoint == endpoint ? 1 : 0;
@@ -102,7 +105,7 @@
   void Send(RequestFingerprint request, const HostId& host, bool is_repeat) {
     std::vector<std::size_t> free;
     for (std::size_t n = 0; n < endpoints_.size(); ++n) {
-      if (endpoints_[n].up_at <= star_.now() && InHand(n) < kSlots) {
+      if (endpoints_[n].up_at <= star_.now() && CallsAt(n) < kSlots) {
         free.push_back(n);
       }
     }
@@ -120,10 +123,11 @@
       if (star_.now() < at) {
         continue;
       }
-      at = star_.now() + (request == kCulprit ? kCulpritEvery : kEvery);
-      const HostId host = AnyHost();
+      at = star_.now() +
+           (request == kCulprit ? kCulpritInterval : kCallInterval);
+      const HostId host = RandomHost();
       if (star_.Judge(host, request) == Suspicion::kQuarantined) {
-        wronged_ += request == kCulprit ? 0 : 1;
+        wrongly_refused_ += request == kCulprit ? 0 : 1;
         continue;
       }
       Send(request, host, false);
@@ -149,11 +153,11 @@
     }
   }
 
-  // Breaks all calls there; each host sends its own once more, unless they are
-  // suspects already.
+  // Breaks all calls at the endpoint. Each host retries its calls once, except
+  // those that are suspected already.
   void Crash(std::size_t endpoint) {
     ++crashes_;
-    endpoints_[endpoint].up_at = star_.now() + kDownFor;
+    endpoints_[endpoint].up_at = star_.now() + kRestartTime;
     std::vector<Call> broken;
     std::erase_if(calls_, [&](const Call& it) {
       if (it.endpoint == endpoint) {
@@ -165,7 +169,7 @@
     for (const Call& it : broken) {
       const bool is_suspected =
           star_.Judge(it.host, it.request) != Suspicion::kNone;
-      star_.Break(it.host, process, it.request);
+      star_.BreakConnection(it.host, process, it.request);
       checks_.push_back({it.host, process, star_.now() + kCheckTime});
       if (!it.is_repeat && !is_suspected) {
         Send(it.request, it.host, true);
@@ -190,25 +194,25 @@
   std::vector<Check> checks_;
   std::map<RequestFingerprint, TimePoint> next_;
   int crashes_ = 0;
-  int wronged_ = 0;
+  int wrongly_refused_ = 0;
   int answered_ = 0;
 };
 
-// Callers whose requests were at endpoints that another request crashed are
-// served on, and that request ends as few endpoints as it takes to find it.
-TEST_CASE("a crashing request is refused and its bystanders are not") {
-  constexpr int kMostCrashes = 6;
-  constexpr int kLeastAnswered = 6000;
-  // Each replay writes dozens of lines.
+// The crashing request must be refused after few crashes, while requests that
+// only ran on the same endpoints are still served.
+TEST_CASE("a crashing request is refused and no other request is") {
+  constexpr int kMaxCrashes = 6;
+  constexpr int kMinAnswered = 6000;
+  // Each simulation logs dozens of lines.
   const auto level = spdlog::get_level();
   spdlog::set_level(spdlog::level::off);
   rc::check([=] {
     CrashReplay replay(*rc::gen::arbitrary<std::uint64_t>());
     replay.Run(std::chrono::seconds(30));
     RC_ASSERT(replay.AllRefuse());
-    RC_ASSERT(replay.crashes() <= kMostCrashes);
-    RC_ASSERT(replay.wronged() == 0);
-    RC_ASSERT(replay.answered() >= kLeastAnswered);
+    RC_ASSERT(replay.crashes() <= kMaxCrashes);
+    RC_ASSERT(replay.wrongly_refused() == 0);
+    RC_ASSERT(replay.answered() >= kMinAnswered);
   });
   spdlog::set_level(level);
 }
--- a/tests/fleet/test_drain_sightings.cc
+++ b/tests/fleet/test_drain_sightings.cc
@@ -6,7 +6,7 @@
 namespace {
 
 const TimePoint kNow = TimePoint() + std::chrono::hours(1);
-const DrainSighting kSighting{ServiceId("dispatch"), EndpointId("e1")};
+const DrainSighting kObservation{ServiceId("dispatch"), EndpointId("e1")};
 
 HostView ViewOfTwoPeers() {
   HostView view;
@@ -17,42 +17,43 @@
   return view;
 }
 
-// An endpoint drains while the list still calls it live. Hosts that call it
-// learn it from an answer; one that has not called it for a while would send
-// it new work ten seconds later.
-TEST_CASE("a sighting goes to the reachable peers, once a second") {
+// An endpoint drains while the endpoint list still says that it is live. Hosts
+// that call it learn this from its answers. Without messages from them, a host
+// that has not called it for a while would still send it calls ten seconds
+// later.
+TEST_CASE("an observation is sent to reachable peers, once a second") {
   DrainSightings drains;
   Outbox out;
   drains.OnView(ViewOfTwoPeers(), kNow, out);
-  drains.Sighted(kSighting, kNow, out);
-  drains.Sighted(kSighting, kNow, out);
+  drains.Sighted(kObservation, kNow, out);
+  drains.Sighted(kObservation, kNow, out);
   const auto sent = out.Take();
   REQUIRE(sent.size() == 1);
   CHECK(sent[0].to == HostId("h1"));
-  CHECK(std::get<DrainSighting>(sent[0].message) == kSighting);
-  drains.Tick(kNow + DrainSightings::kRepeat, out);
-  drains.Sighted(kSighting, kNow + DrainSightings::kRepeat, out);
+  CHECK(std::get<DrainSighting>(sent[0].message) == kObservation);
+  drains.Tick(kNow + DrainSightings::kRepeatInterval, out);
+  drains.Sighted(kObservation, kNow + DrainSightings::kRepeatInterval, out);
   CHECK(out.Take().size() == 1);
 }
 
-TEST_CASE("what was heard is told once and not passed on") {
+TEST_CASE("a received observation is returned once and not forwarded") {
   DrainSightings drains;
   Outbox out;
   drains.OnView(ViewOfTwoPeers(), kNow, out);
-  drains.OnMessage({HostId("h1"), 1}, kSighting, kNow, out);
-  CHECK(drains.TakeHeard() == std::set<DrainSighting>{kSighting});
+  drains.OnMessage({HostId("h1"), 1}, kObservation, kNow, out);
+  CHECK(drains.TakeHeard() == std::set<DrainSighting>{kObservation});
   CHECK(drains.TakeHeard().empty());
   CHECK(out.Take().empty());
 }
 
-TEST_CASE("what is remembered is bounded") {
+TEST_CASE("the number of received observations is bounded") {
   DrainSightings drains;
   Outbox out;
-  for (std::size_t n = 0; n < 2 * DrainSightings::kMost; ++n) {
+  for (std::size_t n = 0; n < 2 * DrainSightings::kMaxObservations; ++n) {
     const DrainSighting each{ServiceId("s"), EndpointId(std::to_string(n))};
     drains.OnMessage({HostId("h1"), 1}, each, kNow, out);
   }
-  CHECK(drains.TakeHeard().size() == DrainSightings::kMost);
+  CHECK(drains.TakeHeard().size() == DrainSightings::kMaxObservations);
 }
 
 }  // namespace
--- a/tests/fleet/test_drained_zones.cc
+++ b/tests/fleet/test_drained_zones.cc
@@ -24,10 +24,9 @@
   return view.drained_zones().InForce();
 }
 
-// Calls go into a zone that is being emptied. A read of an older copy, or a
-// peer that knows less, arrives after the word that the zone is drained, or
-// after the word that it is so no more.
-TEST_CASE("older word of a drain changes nothing") {
+// Guards against calls into a drained zone. A read of an outdated copy, or the
+// update of an outdated peer, arrives after the start or the end of the drain.
+TEST_CASE("an outdated drain state changes nothing") {
   PublishedView view;
   view.TakeChanges(Drain(5, true), false, kStart);
   view.TakeAll({{}, 4}, false, kStart);
@@ -37,9 +36,10 @@
   CHECK(InForce(view) == kNone);
 }
 
-// A zone that was given back stays empty: the store forgot the history in which
-// the drain ended, and a whole read only shows that it is not there.
-TEST_CASE("a whole read without a drain ends it, also after an outage") {
+// Guards against a zone that gets no calls after its drain has ended: the store
+// has dropped the history with the end of the drain, and a complete read only
+// shows that there is no drain.
+TEST_CASE("a complete read without the drain ends it, also after an outage") {
   PublishedView view;
   view.TakeAll(Drain(5, true), false, kStart);
   CHECK(view.TakeChanged());
@@ -48,8 +48,9 @@
   CHECK(view.TakeChanged());
 }
 
-// The same for a host whose feeder began to read after the drain had ended.
-TEST_CASE("an update of a feeder that began later names all drains") {
+// The same failure, for a host whose feeder began to read after the drain had
+// ended.
+TEST_CASE("the update of a feeder that began later includes all drains") {
   PublishedView feeder;
   feeder.TakeAll(Drain(5, true), false, kStart);
   PublishedItems update = feeder.ChangesAfter(6, kStart);
@@ -65,7 +66,7 @@
   CHECK(InForce(follower) == kZone);
 }
 
-TEST_CASE("names that somebody writes without end do not fill the memory") {
+TEST_CASE("the number of stored zones is bounded") {
   DrainedZones zones;
   for (std::size_t n = 0; n < 2 * DrainedZones::kMostZones; ++n) {
     zones.Take({ZoneId("z" + std::to_string(n)), true}, n + 1);
--- a/tests/fleet/test_endpoint_rate_exchange.cc
+++ b/tests/fleet/test_endpoint_rate_exchange.cc
@@ -20,44 +20,45 @@
 
 const EndpointProcess kEndpoint{EndpointId("e"), EndpointStart(seconds(7))};
 
-// Hosts that are linked to three seeds in turn, or all to each other.
+// Simulates a fleet in which hosts are connected to one of three seeds, or all
+// to each other. Delivers messages at once.
 class RateFleet {
  public:
-  RateFleet(FleetShape shape, int hosts) : shape_(shape) {
+  RateFleet(FleetShape topology, int hosts) : topology_(topology) {
     for (int n = 0; n < hosts; ++n) {
       Start(n);
     }
   }
 
   void Start(int n) {
-    hosts_[Name(n)] = std::make_unique<Host>(shape_);
+    hosts_[Name(n)] = std::make_unique<Host>(topology_);
     for (auto& [name, it] : hosts_) {
       it->exchange.OnPeerGone(Name(n));
     }
     for (int other = 0; other < static_cast<int>(hosts_.size()); ++other) {
       if (other != n && IsLinked(n, other)) {
-        Meet(Name(n), Name(other));
-        Meet(Name(other), Name(n));
+        AddPeer(Name(n), Name(other));
+        AddPeer(Name(other), Name(n));
       }
     }
     Deliver();
   }
-  // The endpoint tells one host.
+  // The endpoint states a limit, or none, to one host.
   void State(int n, std::optional<double> rate_limit) {
     now_ += milliseconds(10);
     Host& host = *hosts_.at(Name(n));
-    host.is_due = false;
+    host.has_updates = false;
     host.rates.OnStated({kEndpoint, rate_limit, now_});
-    if (host.is_due) {
+    if (host.has_updates) {
       Outbox out;
       host.exchange.Share(now_, out);
       Send(Name(n), out);
       Deliver();
     }
   }
-  void Pass(Duration time) { now_ += time; }
+  void AdvanceTime(Duration time) { now_ += time; }
 
-  int CountThatKnow(double rate_limit) const {
+  int CountHostsWithLimit(double rate_limit) const {
     int count = 0;
     for (const auto& [name, it] : hosts_) {
       const auto rates = it->rates.InForce();
@@ -72,12 +73,12 @@
   static constexpr int kSeeds = 3;
 
   struct Host {
-    explicit Host(FleetShape shape) : exchange(rates, shape) {
-      rates.SetOnNews([this] { is_due = true; });
+    explicit Host(FleetShape topology) : exchange(rates, topology) {
+      rates.SetOnNews([this] { has_updates = true; });
     }
     EndpointRates rates;
     EndpointRateExchange exchange;
-    bool is_due = false;
+    bool has_updates = false;
   };
   struct Frame {
     HostId from;
@@ -89,9 +90,10 @@
   bool IsLinked(int a, int b) const {
     const int low = std::min(a, b);
     const int high = std::max(a, b);
-    return shape_ == FleetShape::kMesh || high < kSeeds || low == high % kSeeds;
+    return topology_ == FleetShape::kMesh || high < kSeeds ||
+           low == high % kSeeds;
   }
-  void Meet(const HostId& host, const HostId& peer) {
+  void AddPeer(const HostId& host, const HostId& peer) {
     Outbox out;
     hosts_.at(host)->exchange.OnPeer(peer, now_, out);
     Send(host, out);
@@ -115,7 +117,7 @@
     }
   }
 
-  const FleetShape shape_;
+  const FleetShape topology_;
   TimePoint now_ = TimePoint() + std::chrono::hours(10);
   std::map<HostId, std::unique_ptr<Host>> hosts_;
   std::deque<Frame> queue_;
@@ -125,31 +127,31 @@
 
 constexpr int kHosts = 40;
 
-// Guards against an endpoint in need that has to tell each host of a large
-// fleet by itself, one request each.
-TEST_CASE("all hosts learn of a limit that an endpoint has told one") {
-  for (const FleetShape shape : {FleetShape::kMesh, FleetShape::kStar}) {
-    RateFleet fleet(shape, kHosts);
+// Guards against an overloaded endpoint that has to state its limit to each
+// host of a large fleet itself, which takes one request per host.
+TEST_CASE("all hosts receive a limit that an endpoint has stated to one") {
+  for (const FleetShape topology : {FleetShape::kMesh, FleetShape::kStar}) {
+    RateFleet fleet(topology, kHosts);
     fleet.State(kHosts - 1, 1.5);
-    CHECK(fleet.CountThatKnow(1.5) == kHosts);
+    CHECK(fleet.CountHostsWithLimit(1.5) == kHosts);
     fleet.State(5, 2);
-    CHECK(fleet.CountThatKnow(2) == kHosts);
+    CHECK(fleet.CountHostsWithLimit(2) == kHosts);
     fleet.State(7, std::nullopt);
-    CHECK(fleet.CountThatKnow(2) == 0);
+    CHECK(fleet.CountHostsWithLimit(2) == 0);
   }
 }
 
-TEST_CASE("a host that starts hears which limits are in force") {
-  for (const FleetShape shape : {FleetShape::kMesh, FleetShape::kStar}) {
-    RateFleet fleet(shape, kHosts);
+TEST_CASE("a starting host receives the limits in force") {
+  for (const FleetShape topology : {FleetShape::kMesh, FleetShape::kStar}) {
+    RateFleet fleet(topology, kHosts);
     fleet.State(4, 1.5);
     fleet.Start(17);
     fleet.Start(0);
-    CHECK(fleet.CountThatKnow(1.5) == kHosts);
+    CHECK(fleet.CountHostsWithLimit(1.5) == kHosts);
   }
 }
 
-// Guards against a limit that a host which heard of its end late brings back.
+// Guards against a withdrawn limit that is brought back by a late report.
 TEST_CASE("an older statement does not replace a newer one") {
   EndpointRates rates;
   const TimePoint now = TimePoint() + std::chrono::hours(1);
@@ -160,32 +162,33 @@
   CHECK(rates.InForce().empty());
 }
 
-TEST_CASE("a change costs a star of hosts a few frames each") {
+TEST_CASE("a change costs few frames per host in a star") {
   RateFleet fleet(FleetShape::kStar, 500);
   const int before = fleet.frames();
   const std::size_t bytes_before = fleet.bytes();
   fleet.State(333, 1.5);
-  constexpr int kMostFrames = 2;
-  constexpr std::size_t kMostBytes = 256;
-  CHECK(fleet.frames() - before <= kMostFrames * 500);
-  CHECK(fleet.bytes() - bytes_before <= kMostBytes * 500);
+  constexpr int kMaxFramesPerHost = 2;
+  constexpr std::size_t kMaxBytesPerHost = 256;
+  CHECK(fleet.frames() - before <= kMaxFramesPerHost * 500);
+  CHECK(fleet.bytes() - bytes_before <= kMaxBytesPerHost * 500);
 }
 
-// Guards against messages without bound for an endpoint that states a limit and
-// takes it back by turns.
-TEST_CASE("an endpoint that changes its mind all the time costs few messages") {
+// Guards against an unbounded number of messages if an endpoint alternately
+// states and withdraws a limit.
+TEST_CASE("an endpoint that changes its limit continually costs few messages") {
   RateFleet fleet(FleetShape::kStar, kHosts);
   const int before = fleet.frames();
   constexpr int kChanges = 1000;
   for (int n = 0; n < kChanges; ++n) {
     fleet.State(9, n % 2 == 0 ? std::optional<double>(1) : std::nullopt);
   }
-  // Ten seconds of changes.
-  constexpr int kMostNews = 10 * 5 + 20;
-  CHECK(fleet.frames() - before <= kMostNews * 2 * kHosts);
+  // The changes take ten seconds; the rate limit is 5 updates per second and
+  // the burst is 20.
+  constexpr int kMaxUpdates = 10 * 5 + 20;
+  CHECK(fleet.frames() - before <= kMaxUpdates * 2 * kHosts);
 }
 
-TEST_CASE("a process that is not listed is forgotten after a while") {
+TEST_CASE("the statement of an unlisted process is removed after a minute") {
   EndpointRates rates;
   const TimePoint now = TimePoint() + std::chrono::hours(1);
   rates.OnStated({kEndpoint, 1.5, now});
@@ -199,31 +202,32 @@
   CHECK(rates.InForce().empty());
 }
 
-TEST_CASE("as many endpoints are remembered as there is room for") {
+TEST_CASE("the number of stored endpoints is bounded") {
   EndpointRates rates;
   TimePoint now = TimePoint() + std::chrono::hours(1);
-  for (std::size_t n = 0; n < EndpointRates::kMost + 50; ++n) {
+  for (std::size_t n = 0; n < EndpointRates::kMaxEndpoints + 50; ++n) {
     now += seconds(1);
     rates.OnStated({{EndpointId("e" + std::to_string(n)), {}}, 1, now});
   }
-  CHECK(rates.InForce().size() == EndpointRates::kMost);
+  CHECK(rates.InForce().size() == EndpointRates::kMaxEndpoints);
 }
 
-// Guards against a report that peers refuse whole for one limit in it.
-TEST_CASE("a limit beyond all measure is told as the highest one") {
+// Guards against a report that peers refuse entirely because of one excessive
+// limit.
+TEST_CASE("a limit above the maximum is reported as the maximum") {
   const std::string frame = EncodePeerMessage(
       EndpointRateReport{{{kEndpoint, 1e300, milliseconds(1)}}});
-  const bool is_taken = Try(
+  const bool is_accepted = Try(
       [&]() -> leaf::result<bool> {
         BOOST_LEAF_AUTO(message, DecodePeerMessage(frame));
         const auto& report = std::get<EndpointRateReport>(*message);
         return report.statements.at(0).rate_limit == 1e9;
       },
       [](const Error&) { return false; });
-  CHECK(is_taken);
+  CHECK(is_accepted);
 }
 
-TEST_CASE("reports on rates come back from their bytes as they were") {
+TEST_CASE("endpoint rate reports are decoded as they were encoded") {
   const bool ok = rc::check([] {
     EndpointRateReport report;
     const int size = *rc::gen::inRange(0, 20);
