--- a/fleet/claim_router.cc
+++ b/fleet/claim_client.cc
@@ -1,4 +1,4 @@
-#include "fleet/claim_router.h"
+#include "fleet/claim_client.h"
 
 #include <xxhash.h>
 
@@ -22,19 +22,19 @@
 
 }  // namespace
 
-ClaimRouter::ClaimRouter(Incarnation incarnation, ClaimOptions options)
+ClaimClient::ClaimClient(Incarnation incarnation, ClaimOptions options)
     : options_(options), next_claim_(incarnation) {}
 
-void ClaimRouter::Claim(const ClaimRequest& request,
+void ClaimClient::Claim(const ClaimRequest& request,
                         Done done,
-                        ClaimKeeper& replica,
+                        ClaimReplica& replica,
                         TimePoint now,
                         Outbox& out) {
   // Every claim needs an entry for its settlement, so none is accepted without
   // space for it.
   const bool full = unsettled_.size() + running_.size() + pending_.size() >=
-                    options_.most_unsettled;
-  if (full || request.key.size() > kLongestClaimKey) {
+                    options_.max_unsettled;
+  if (full || request.key.size() > kMaxClaimKeyBytes) {
     ++counters_.unavailable;
     done(ClaimReply{});
     return;
@@ -47,21 +47,21 @@
   pending.request.claim = claim;
   pending.bucket = BucketOf(request.customer, request.key, options_.buckets);
   pending.done = std::move(done);
-  pending.expires_at = std::min(request.deadline, now + options_.longest_claim);
+  pending.expires_at = std::min(request.deadline, now + options_.claim_timeout);
   const auto it = pending_.emplace(claim, std::move(pending)).first;
   Send(it->second, replica, now, out);
 }
 
-void ClaimRouter::Send(PendingClaim& pending,
-                       ClaimKeeper& replica,
+void ClaimClient::Send(PendingClaim& pending,
+                       ClaimReplica& replica,
                        TimePoint now,
                        Outbox& out) {
   pending.sent_at = now;
-  const auto& known = replica.KnownKeepers(pending.bucket);
+  const auto& known = replica.KnownReplicas(pending.bucket);
   if (!known) {
-    const HostId likely = replica.LikelyKeeper(pending.bucket);
+    const HostId likely = replica.LikelyPrimary(pending.bucket);
     if (!likely.empty()) {
-      out.Send(likely, ClaimAsk{pending.bucket, {}, pending.request});
+      out.Send(likely, GrantRequest{pending.bucket, {}, pending.request});
     }
     return;
   }
@@ -72,16 +72,16 @@
   }
   const HostId& to =
       pending.primary_granted ? known->secondary : known->primary;
-  out.Send(to, ClaimAsk{pending.bucket, known->ballot, pending.request});
+  out.Send(to, GrantRequest{pending.bucket, known->ballot, pending.request});
 }
 
-void ClaimRouter::On(const Sender& sender,
-                     const ClaimAnswer& answer,
-                     ClaimKeeper& replica,
+void ClaimClient::On(const Sender& sender,
+                     const GrantReply& answer,
+                     ClaimReplica& replica,
                      TimePoint now,
                      Outbox& out) {
   if (answer.replicas) {
-    replica.LearnKeepers(*answer.replicas);
+    replica.LearnReplicas(*answer.replicas);
   }
   const auto it = pending_.find(answer.claim);
   if (it == pending_.end()) {
@@ -102,7 +102,7 @@
     return;
   }
   PendingClaim& pending = it->second;
-  const auto& known = replica.KnownKeepers(pending.bucket);
+  const auto& known = replica.KnownReplicas(pending.bucket);
   if (!known || known->ballot != answer.ballot) {
     if (answer.replicas && pending.sent_at < now) {
       Send(pending, replica, now, out);
@@ -132,7 +132,7 @@
   Send(pending, replica, now, out);
 }
 
-void ClaimRouter::Finish(std::uint64_t claim, ClaimReply reply) {
+void ClaimClient::Finish(std::uint64_t claim, ClaimReply reply) {
   const auto it = pending_.find(claim);
   const Done done = std::move(it->second.done);
   pending_.erase(it);
@@ -156,8 +156,8 @@
   done(reply);
 }
 
-void ClaimRouter::Release(const ClaimRecord& request,
-                          ClaimKeeper& replica,
+void ClaimClient::Release(const ClaimRecord& request,
+                          ClaimReplica& replica,
                           TimePoint now,
                           Outbox& out) {
   ClaimRecord record = request;
@@ -165,11 +165,11 @@
   AddUnsettled(std::move(record), replica, now, out);
 }
 
-void ClaimRouter::Settle(const ClaimRequest& request,
+void ClaimClient::Settle(const ClaimRequest& request,
                          std::uint64_t claim,
                          Outcome outcome,
                          std::optional<KeptAnswer> answer,
-                         ClaimKeeper& replica,
+                         ClaimReplica& replica,
                          TimePoint now,
                          Outbox& out) {
   if (running_.erase(claim) == 0) {
@@ -182,15 +182,15 @@
   record.claim = claim;
   record.ended = outcome != Outcome::kNotRun;
   const bool keeps = outcome == Outcome::kComplete && answer &&
-                     answer->body.size() <= options_.largest_answer;
+                     answer->body.size() <= options_.max_answer_bytes;
   if (keeps) {
     record.answer = std::move(answer);
   }
   AddUnsettled(std::move(record), replica, now, out);
 }
 
-void ClaimRouter::AddUnsettled(ClaimRecord record,
-                               ClaimKeeper& replica,
+void ClaimClient::AddUnsettled(ClaimRecord record,
+                               ClaimReplica& replica,
                                TimePoint now,
                                Outbox& out) {
   Unsettled unsettled;
@@ -203,12 +203,12 @@
   Send(it->second, replica, now, out);
 }
 
-void ClaimRouter::Send(Unsettled& unsettled,
-                       ClaimKeeper& replica,
+void ClaimClient::Send(Unsettled& unsettled,
+                       ClaimReplica& replica,
                        TimePoint now,
                        Outbox& out) {
   unsettled.sent_at = now;
-  const auto& known = replica.KnownKeepers(unsettled.bucket);
+  const auto& known = replica.KnownReplicas(unsettled.bucket);
   if (!known) {
     return;
   }
@@ -227,20 +227,20 @@
   }
 }
 
-void ClaimRouter::On(const Sender& sender,
+void ClaimClient::On(const Sender& sender,
                      const ClaimSettled& settled,
-                     ClaimKeeper& replica,
+                     ClaimReplica& replica,
                      TimePoint now,
                      Outbox& out) {
   if (settled.replicas) {
-    replica.LearnKeepers(*settled.replicas);
+    replica.LearnReplicas(*settled.replicas);
   }
   const auto it = unsettled_.find(settled.claim);
   if (it == unsettled_.end()) {
     return;
   }
   Unsettled& unsettled = it->second;
-  const auto& known = replica.KnownKeepers(unsettled.bucket);
+  const auto& known = replica.KnownReplicas(unsettled.bucket);
   if (settled.refused || !known || known->ballot != settled.ballot ||
       unsettled.ballot != settled.ballot) {
     if (known && unsettled.ballot != known->ballot) {
@@ -257,7 +257,7 @@
   }
 }
 
-void ClaimRouter::Tick(ClaimKeeper& replica, TimePoint now, Outbox& out) {
+void ClaimClient::Tick(ClaimReplica& replica, TimePoint now, Outbox& out) {
   std::vector<std::uint64_t> expired;
   for (auto& [claim, pending] : pending_) {
     if (pending.expires_at <= now) {
--- a/fleet/claim_router.h
+++ b/fleet/claim_client.h
@@ -1,14 +1,14 @@
-#ifndef FLEET_CLAIM_ROUTER_H_
-#define FLEET_CLAIM_ROUTER_H_
+#ifndef FLEET_CLAIM_CLIENT_H_
+#define FLEET_CLAIM_CLIENT_H_
 
 #include <cstdint>
 #include <functional>
 #include <map>
 #include <optional>
 
-#include "fleet/claim_keeper.h"
 #include "fleet/claim_messages.h"
 #include "fleet/claim_options.h"
+#include "fleet/claim_replica.h"
 #include "fleet/fleet_module.h"
 
 namespace damasktack {
@@ -26,18 +26,18 @@
 // secondary replica of a key, and tells both how the claim ended until both
 // have acknowledged it. Does no I/O: reads no clock and sends through an
 // Outbox.
-class ClaimRouter {
+class ClaimClient {
  public:
   using Done = std::function<void(const ClaimReply&)>;
 
   // Claims are numbered from `incarnation`, which is random, so that no two
   // processes use the same number.
-  ClaimRouter(Incarnation incarnation, ClaimOptions options);
+  ClaimClient(Incarnation incarnation, ClaimOptions options);
 
   // Requests a claim. `done` runs exactly once, within this call or later.
   void Claim(const ClaimRequest& request,
              Done done,
-             ClaimKeeper& replica,
+             ClaimReplica& replica,
              TimePoint now,
              Outbox& out);
   // Ends a granted claim and reports its outcome to the replicas.
@@ -45,21 +45,21 @@
               std::uint64_t claim,
               Outcome outcome,
               std::optional<KeptAnswer> answer,
-              ClaimKeeper& replica,
+              ClaimReplica& replica,
               TimePoint now,
               Outbox& out);
 
   void On(const Sender& sender,
-          const ClaimAnswer& answer,
-          ClaimKeeper& replica,
+          const GrantReply& answer,
+          ClaimReplica& replica,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
           const ClaimSettled& settled,
-          ClaimKeeper& replica,
+          ClaimReplica& replica,
           TimePoint now,
           Outbox& out);
-  void Tick(ClaimKeeper& replica, TimePoint now, Outbox& out);
+  void Tick(ClaimReplica& replica, TimePoint now, Outbox& out);
 
   const ClaimCounters& counters() const { return counters_; }
   // Number of settlements without the acknowledgements of both replicas.
@@ -90,21 +90,21 @@
   };
 
   void Send(PendingClaim& pending,
-            ClaimKeeper& replica,
+            ClaimReplica& replica,
             TimePoint now,
             Outbox& out);
   void Send(Unsettled& unsettled,
-            ClaimKeeper& replica,
+            ClaimReplica& replica,
             TimePoint now,
             Outbox& out);
   void Finish(std::uint64_t claim, ClaimReply reply);
   // Releases a claim that may have been granted by one of the replicas.
   void Release(const ClaimRecord& request,
-               ClaimKeeper& replica,
+               ClaimReplica& replica,
                TimePoint now,
                Outbox& out);
   void AddUnsettled(ClaimRecord record,
-                    ClaimKeeper& replica,
+                    ClaimReplica& replica,
                     TimePoint now,
                     Outbox& out);
 
@@ -119,4 +119,4 @@
 
 }  // namespace damasktack
 
-#endif  // FLEET_CLAIM_ROUTER_H_
+#endif  // FLEET_CLAIM_CLIENT_H_
--- a/fleet/claim_exchange.h
+++ b/fleet/claim_exchange.h
@@ -3,15 +3,15 @@
 
 #include <optional>
 
-#include "fleet/claim_keeper.h"
-#include "fleet/claim_router.h"
+#include "fleet/claim_client.h"
+#include "fleet/claim_replica.h"
 #include "fleet/fleet_module.h"
 
 namespace damasktack {
 
 // State of the claims on one host, for operators.
 struct ClaimStatus {
-  ClaimKeeperStatus replica;
+  ClaimReplicaStatus replica;
   ClaimCounters claims;
   // Claims without a verdict.
   std::size_t pending = 0;
@@ -36,7 +36,7 @@
   // Sets the hosts that may be replicas. To be called before each Tick.
   void SetCounted(CountedFleet counted);
   void Claim(const ClaimRequest& request,
-             ClaimRouter::Done done,
+             ClaimClient::Done done,
              TimePoint now,
              Outbox& out);
   void Settle(const ClaimRequest& request,
@@ -46,7 +46,7 @@
               TimePoint now,
               Outbox& out);
 
-  const ClaimKeeper& replica() const { return replica_; }
+  const ClaimReplica& replica() const { return replica_; }
   ClaimStatus Status() const;
 
  private:
@@ -59,8 +59,8 @@
                 Outbox& out);
 
   const Sender self_;
-  ClaimKeeper replica_;
-  ClaimRouter client_;
+  ClaimReplica replica_;
+  ClaimClient client_;
 };
 
 static_assert(FleetModule<ClaimExchange>);
--- a/fleet/claim_messages.h
+++ b/fleet/claim_messages.h
@@ -18,7 +18,7 @@
 // Keys are hashed into this many buckets. Each bucket has its own replicas.
 inline constexpr std::int64_t kClaimBuckets = 256;
 // Claims on longer keys are refused.
-inline constexpr std::size_t kLongestClaimKey = 256;
+inline constexpr std::size_t kMaxClaimKeyBytes = 256;
 
 // Identifies one attempt of a host to take over a bucket, as a ballot number in
 // Paxos. Later attempts have higher ballots.
@@ -36,7 +36,7 @@
 
 // The replicas of a bucket under a ballot. `secondary` equals `primary` if
 // there is only one host.
-struct ClaimKeepers {
+struct ClaimReplicas {
   static constexpr std::string_view kKind = "claim-keepers";
 
   std::int64_t bucket = 0;
@@ -45,10 +45,10 @@
   HostId secondary;
 
   Json ToJson() const;
-  static leaf::result<ClaimKeepers> Parse(const Json& json,
-                                          const std::string& path);
+  static leaf::result<ClaimReplicas> Parse(const Json& json,
+                                           const std::string& path);
 
-  bool operator==(const ClaimKeepers&) const = default;
+  bool operator==(const ClaimReplicas&) const = default;
 };
 
 // The record of one key, as stored by a replica.
@@ -73,21 +73,21 @@
 
 // Asks a host to promise that it will not serve the bucket under any ballot
 // below `ballot`, and to hand over its records.
-struct TakeoverAsk {
+struct TakeoverRequest {
   static constexpr std::string_view kKind = "claim-takeover-ask";
 
   std::int64_t bucket = 0;
   ClaimBallot ballot;
 
   Json ToJson() const;
-  static leaf::result<TakeoverAsk> Parse(const Json& json,
-                                         const std::string& path);
+  static leaf::result<TakeoverRequest> Parse(const Json& json,
+                                             const std::string& path);
 
-  bool operator==(const TakeoverAsk&) const = default;
+  bool operator==(const TakeoverRequest&) const = default;
 };
 
-// Answers a TakeoverAsk.
-struct TakeoverAnswer {
+// Answers a TakeoverRequest.
+struct TakeoverReply {
   static constexpr std::string_view kKind = "claim-takeover-answer";
 
   std::int64_t bucket = 0;
@@ -105,42 +105,42 @@
   std::vector<ClaimRecord> records;
 
   Json ToJson() const;
-  static leaf::result<TakeoverAnswer> Parse(const Json& json,
-                                            const std::string& path);
+  static leaf::result<TakeoverReply> Parse(const Json& json,
+                                           const std::string& path);
 
-  bool operator==(const TakeoverAnswer&) const = default;
+  bool operator==(const TakeoverReply&) const = default;
 };
 
 // Makes the receiver the secondary replica of a bucket, with these records.
-struct KeeperInstall {
+struct ReplicaInstall {
   static constexpr std::string_view kKind = "claim-install";
 
-  ClaimKeepers replicas;
+  ClaimReplicas replicas;
   std::vector<ClaimRecord> records;
 
   Json ToJson() const;
-  static leaf::result<KeeperInstall> Parse(const Json& json,
-                                           const std::string& path);
+  static leaf::result<ReplicaInstall> Parse(const Json& json,
+                                            const std::string& path);
 
-  bool operator==(const KeeperInstall&) const = default;
+  bool operator==(const ReplicaInstall&) const = default;
 };
 
-// Acknowledges a KeeperInstall.
-struct KeeperInstalled {
+// Acknowledges a ReplicaInstall.
+struct ReplicaInstalled {
   static constexpr std::string_view kKind = "claim-installed";
 
   std::int64_t bucket = 0;
   ClaimBallot ballot;
 
   Json ToJson() const;
-  static leaf::result<KeeperInstalled> Parse(const Json& json,
-                                             const std::string& path);
+  static leaf::result<ReplicaInstalled> Parse(const Json& json,
+                                              const std::string& path);
 
-  bool operator==(const KeeperInstalled&) const = default;
+  bool operator==(const ReplicaInstalled&) const = default;
 };
 
 // Asks one replica to grant a claim under `ballot`.
-struct ClaimAsk {
+struct GrantRequest {
   static constexpr std::string_view kKind = "claim-ask";
 
   std::int64_t bucket = 0;
@@ -149,14 +149,14 @@
   ClaimRecord request;
 
   Json ToJson() const;
-  static leaf::result<ClaimAsk> Parse(const Json& json,
-                                      const std::string& path);
+  static leaf::result<GrantRequest> Parse(const Json& json,
+                                          const std::string& path);
 
-  bool operator==(const ClaimAsk&) const = default;
+  bool operator==(const GrantRequest&) const = default;
 };
 
-// Answers a ClaimAsk.
-struct ClaimAnswer {
+// Answers a GrantRequest.
+struct GrantReply {
   static constexpr std::string_view kKind = "claim-answer";
 
   std::int64_t bucket = 0;
@@ -167,13 +167,13 @@
   ClaimVerdict verdict = ClaimVerdict::kUnavailable;
   std::optional<KeptAnswer> answer;
   // If the verdict is kUnavailable: the replicas known to the sender.
-  std::optional<ClaimKeepers> replicas;
+  std::optional<ClaimReplicas> replicas;
 
   Json ToJson() const;
-  static leaf::result<ClaimAnswer> Parse(const Json& json,
-                                         const std::string& path);
+  static leaf::result<GrantReply> Parse(const Json& json,
+                                        const std::string& path);
 
-  bool operator==(const ClaimAnswer&) const = default;
+  bool operator==(const GrantReply&) const = default;
 };
 
 // Tells a replica how a claim ended. Sent again until both replicas have
@@ -201,7 +201,7 @@
   std::uint64_t claim = 0;
   // The sender is not a replica of the bucket under that ballot.
   bool refused = false;
-  std::optional<ClaimKeepers> replicas;
+  std::optional<ClaimReplicas> replicas;
 
   Json ToJson() const;
   static leaf::result<ClaimSettled> Parse(const Json& json,
--- a/fleet/claim_options.h
+++ b/fleet/claim_options.h
@@ -20,20 +20,20 @@
   // Minimum time for which ended claims are stored.
   Duration retention = std::chrono::hours(24);
   // Maximum number of records on one host. New keys beyond it are refused.
-  std::int64_t most_records = 100'000;
+  std::int64_t max_records = 100'000;
   // Larger answers are not stored. A repeated call then learns only that the
   // call ran.
-  std::size_t largest_answer = 16'384;
+  std::size_t max_answer_bytes = 16'384;
   // Total size of the answers stored on one host. Answers beyond it are not
   // stored.
   std::size_t max_total_answer_bytes = 32'000'000;
   // Interval after which an unanswered message is sent again.
   Duration resend_interval = std::chrono::milliseconds(250);
   // Timeout of a claim. The deadline of the call may end it earlier.
-  Duration longest_claim = std::chrono::seconds(2);
+  Duration claim_timeout = std::chrono::seconds(2);
   // Maximum number of claims on one host that are pending, running, or waiting
   // for the acknowledgement of their settlement.
-  std::size_t most_unsettled = 100'000;
+  std::size_t max_unsettled = 100'000;
 };
 
 }  // namespace damasktack
--- a/fleet/claim_keeper.cc
+++ b/fleet/claim_replica.cc
@@ -1,4 +1,4 @@
-#include "fleet/claim_keeper.h"
+#include "fleet/claim_replica.h"
 
 #include <xxhash.h>
 
@@ -25,9 +25,9 @@
 
 }  // namespace
 
-ClaimKeeper::ClaimKeeper(HostId self,
-                         Incarnation incarnation,
-                         ClaimOptions options)
+ClaimReplica::ClaimReplica(HostId self,
+                           Incarnation incarnation,
+                           ClaimOptions options)
     : self_(std::move(self)), incarnation_(incarnation), options_(options) {
   // One for every bucket that a message may name, so that no index needs a
   // check.
@@ -37,34 +37,34 @@
   }
 }
 
-const std::optional<ClaimKeepers>& ClaimKeeper::KnownKeepers(
+const std::optional<ClaimReplicas>& ClaimReplica::KnownReplicas(
     std::int64_t bucket) const {
   return buckets_[static_cast<std::size_t>(bucket)].known;
 }
 
-void ClaimKeeper::LearnKeepers(const ClaimKeepers& replicas) {
+void ClaimReplica::LearnReplicas(const ClaimReplicas& replicas) {
   auto& known = buckets_[static_cast<std::size_t>(replicas.bucket)].known;
   if (!known || known->ballot < replicas.ballot) {
     known = replicas;
   }
 }
 
-void ClaimKeeper::OnView(const HostView& view) {
+void ClaimReplica::OnView(const HostView& view) {
   view_ = view;
   UpdateCandidates();
 }
 
-void ClaimKeeper::SetCounted(CountedFleet counted) {
+void ClaimReplica::SetCounted(CountedFleet counted) {
   counted_ = std::move(counted);
   UpdateCandidates();
 }
 
-std::optional<ClaimBallot> ClaimKeeper::HeldUnder(std::int64_t bucket) const {
+std::optional<ClaimBallot> ClaimReplica::HeldBallot(std::int64_t bucket) const {
   const auto& held = buckets_[static_cast<std::size_t>(bucket)].held;
   return held ? std::optional(held->ballot) : std::nullopt;
 }
 
-void ClaimKeeper::UpdateCandidates() {
+void ClaimReplica::UpdateCandidates() {
   candidates_.clear();
   if (!view_.self_leaving) {
     candidates_.push_back(
@@ -80,7 +80,7 @@
   }
 }
 
-ClaimKeeper::ReplicaPair ClaimKeeper::DesiredReplicas(
+ClaimReplica::ReplicaPair ClaimReplica::DesiredReplicas(
     std::int64_t bucket) const {
   const auto best = [&](auto allowed) -> const PeerView* {
     const PeerView* found = nullptr;
@@ -109,7 +109,7 @@
   return {primary->id, secondary == nullptr ? primary->id : secondary->id};
 }
 
-bool ClaimKeeper::AllCountedReachable() const {
+bool ClaimReplica::AllCountedReachable() const {
   return std::all_of(counted_.others.begin(), counted_.others.end(),
                      [&](const CountedHost& other) {
                        return std::any_of(
@@ -120,13 +120,13 @@
                      });
 }
 
-bool ClaimKeeper::IsActiveUnder(const Bucket& bucket,
-                                const ClaimBallot& ballot) const {
+bool ClaimReplica::IsActiveUnder(const Bucket& bucket,
+                                 const ClaimBallot& ballot) const {
   return bucket.held && bucket.held->ballot == ballot &&
          bucket.promised <= ballot;
 }
 
-void ClaimKeeper::Tick(TimePoint now, Outbox& out) {
+void ClaimReplica::Tick(TimePoint now, Outbox& out) {
   if (now < next_round_) {
     return;
   }
@@ -147,9 +147,9 @@
 
 // The bucket is unavailable during a takeover, so a takeover is not started
 // while it cannot complete.
-void ClaimKeeper::StartTakeoverIfNeeded(std::int64_t index,
-                                        TimePoint now,
-                                        Outbox& out) {
+void ClaimReplica::StartTakeoverIfNeeded(std::int64_t index,
+                                         TimePoint now,
+                                         Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(index)];
   if (!counted_.owns || now < bucket.next_attempt || !AllCountedReachable()) {
     return;
@@ -174,9 +174,9 @@
   }
 }
 
-void ClaimKeeper::BeginTakeover(std::int64_t index,
-                                TimePoint now,
-                                Outbox& out) {
+void ClaimReplica::BeginTakeover(std::int64_t index,
+                                 TimePoint now,
+                                 Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(index)];
   Takeover takeover;
   const auto highest =
@@ -187,9 +187,9 @@
   ContinueTakeover(index, now, out);
 }
 
-void ClaimKeeper::ContinueTakeover(std::int64_t index,
-                                   TimePoint now,
-                                   Outbox& out) {
+void ClaimReplica::ContinueTakeover(std::int64_t index,
+                                    TimePoint now,
+                                    Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(index)];
   Takeover& takeover = *bucket.takeover;
   if (now - takeover.started_at > kTakeoverTimeout) {
@@ -207,7 +207,7 @@
     out.Send(takeover.install->replicas.secondary, *takeover.install);
     return;
   }
-  const TakeoverAsk ask{index, takeover.ballot};
+  const TakeoverRequest ask{index, takeover.ballot};
   out.Send(self_, ask);
   for (const CountedHost& it : counted_.others) {
     if (!takeover.replies.contains(it.host)) {
@@ -216,7 +216,7 @@
   }
 }
 
-void ClaimKeeper::AbortTakeover(Bucket& bucket, TimePoint now) {
+void ClaimReplica::AbortTakeover(Bucket& bucket, TimePoint now) {
   bucket.takeover.reset();
   // The delay differs between hosts, so that hosts with different views do not
   // keep interrupting each other's takeovers with higher ballots.
@@ -225,12 +225,12 @@
   bucket.next_attempt = now + options_.resend_interval + host_delay;
 }
 
-void ClaimKeeper::On(const Sender& sender,
-                     const TakeoverAsk& ask,
-                     TimePoint now,
-                     Outbox& out) {
+void ClaimReplica::On(const Sender& sender,
+                      const TakeoverRequest& ask,
+                      TimePoint now,
+                      Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(ask.bucket)];
-  TakeoverAnswer answer;
+  TakeoverReply answer;
   answer.bucket = ask.bucket;
   answer.ballot = ask.ballot;
   answer.counted = counted_.owns;
@@ -255,10 +255,10 @@
   out.Send(sender.host, std::move(answer));
 }
 
-void ClaimKeeper::On(const Sender& sender,
-                     const TakeoverAnswer& answer,
-                     TimePoint now,
-                     Outbox& out) {
+void ClaimReplica::On(const Sender& sender,
+                      const TakeoverReply& answer,
+                      TimePoint now,
+                      Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(answer.bucket)];
   const bool withdrawn =
       !bucket.takeover && bucket.held && bucket.held->primary == self_ &&
@@ -288,9 +288,9 @@
 
 // Once every host that may be a replica has promised, the records under the
 // highest ballot include every claim that was granted and not lost.
-void ClaimKeeper::InstallIfAllReplied(std::int64_t index,
-                                      TimePoint now,
-                                      Outbox& out) {
+void ClaimReplica::InstallIfAllReplied(std::int64_t index,
+                                       TimePoint now,
+                                       Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(index)];
   Takeover& takeover = *bucket.takeover;
   for (const CountedHost& it : counted_.others) {
@@ -338,7 +338,7 @@
       records.push_back(replies.answer.records);
     }
   }
-  KeeperInstall install;
+  ReplicaInstall install;
   install.replicas = {index, takeover.ballot, self_, wanted.secondary};
   install.records = MergeClaimRecords(records);
   bucket.secondary_incarnation = secondary->second.incarnation;
@@ -351,8 +351,8 @@
 
 // A higher ballot whose own host still answers with a lower accepted one never
 // completed, so it granted nothing.
-bool ClaimKeeper::MayBeLost(const Takeover& takeover,
-                            const ClaimBallot& accepted) const {
+bool ClaimReplica::MayBeLost(const Takeover& takeover,
+                             const ClaimBallot& accepted) const {
   if (accepted.counter == 0) {
     return true;
   }
@@ -366,11 +366,11 @@
       });
 }
 
-void ClaimKeeper::On(const Sender& sender,
-                     const KeeperInstall& install,
-                     TimePoint now,
-                     Outbox& out) {
-  const ClaimKeepers& replicas = install.replicas;
+void ClaimReplica::On(const Sender& sender,
+                      const ReplicaInstall& install,
+                      TimePoint now,
+                      Outbox& out) {
+  const ClaimReplicas& replicas = install.replicas;
   Bucket& bucket = buckets_[static_cast<std::size_t>(replicas.bucket)];
   // An equal ballot belongs to this takeover, as ballots include their host. A
   // process that restarted after it was asked has promised nothing, so it must
@@ -382,15 +382,15 @@
   if (!repeated) {
     bucket.held = replicas;
     bucket.records.Replace(install.records, now);
-    LearnKeepers(replicas);
+    LearnReplicas(replicas);
   }
-  out.Send(sender.host, KeeperInstalled{replicas.bucket, replicas.ballot});
+  out.Send(sender.host, ReplicaInstalled{replicas.bucket, replicas.ballot});
 }
 
-void ClaimKeeper::On(const Sender& sender,
-                     const KeeperInstalled& installed,
-                     TimePoint now,
-                     Outbox& out) {
+void ClaimReplica::On(const Sender& sender,
+                      const ReplicaInstalled& installed,
+                      TimePoint now,
+                      Outbox& out) {
   const Bucket& bucket = buckets_[static_cast<std::size_t>(installed.bucket)];
   const bool is_expected =
       bucket.takeover && bucket.takeover->install &&
@@ -402,18 +402,18 @@
   }
 }
 
-void ClaimKeeper::CompleteTakeover(std::int64_t index,
-                                   TimePoint now,
-                                   Outbox& out) {
+void ClaimReplica::CompleteTakeover(std::int64_t index,
+                                    TimePoint now,
+                                    Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(index)];
-  const KeeperInstall install = *bucket.takeover->install;
+  const ReplicaInstall install = *bucket.takeover->install;
   bucket.takeover.reset();
   if (bucket.promised != install.replicas.ballot) {
     return;
   }
   bucket.held = install.replicas;
   bucket.records.Replace(install.records, now);
-  LearnKeepers(install.replicas);
+  LearnReplicas(install.replicas);
   for (const PeerView& it : view_.peers) {
     out.Send(it.id, install.replicas);
   }
@@ -421,7 +421,7 @@
 
 // Announces the buckets of which this host is the primary replica to hosts that
 // have just become reachable.
-void ClaimKeeper::Announce(TimePoint /*now*/, Outbox& out) {
+void ClaimReplica::Announce(TimePoint /*now*/, Outbox& out) {
   for (const PeerView& it : view_.peers) {
     const auto notice = announced_to_.find(it.id);
     const bool known =
@@ -441,11 +441,11 @@
   }
 }
 
-void ClaimKeeper::On(const Sender& /*sender*/,
-                     const ClaimKeepers& replicas,
-                     TimePoint /*now*/,
-                     Outbox& /*out*/) {
-  LearnKeepers(replicas);
+void ClaimReplica::On(const Sender& /*sender*/,
+                      const ClaimReplicas& replicas,
+                      TimePoint /*now*/,
+                      Outbox& /*out*/) {
+  LearnReplicas(replicas);
   Bucket& bucket = buckets_[static_cast<std::size_t>(replicas.bucket)];
   const bool other = bucket.held && bucket.held->ballot < replicas.ballot;
   // The records were handed over with the promise, so they are not needed here
@@ -457,9 +457,9 @@
   }
 }
 
-ClaimAnswer ClaimKeeper::DecideGrant(Bucket& bucket, const ClaimAsk& ask) {
+GrantReply ClaimReplica::DecideGrant(Bucket& bucket, const GrantRequest& ask) {
   const ClaimRecord& request = ask.request;
-  ClaimAnswer answer;
+  GrantReply answer;
   answer.bucket = ask.bucket;
   answer.ballot = ask.ballot;
   answer.customer = request.customer;
@@ -472,7 +472,7 @@
   const ClaimRecord* record =
       bucket.records.Find(request.customer, request.key);
   if (record == nullptr) {
-    if (usage_.records < options_.most_records) {
+    if (usage_.records < options_.max_records) {
       bucket.records.Grant(request);
       answer.verdict = ClaimVerdict::kGranted;
     }
@@ -490,16 +490,16 @@
   return answer;
 }
 
-void ClaimKeeper::On(const Sender& sender,
-                     const ClaimAsk& ask,
-                     TimePoint /*now*/,
-                     Outbox& out) {
+void ClaimReplica::On(const Sender& sender,
+                      const GrantRequest& ask,
+                      TimePoint /*now*/,
+                      Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(ask.bucket)];
   out.Send(sender.host, DecideGrant(bucket, ask));
   const bool withdrew = bucket.held && bucket.held->ballot == ask.ballot &&
                         ask.ballot < bucket.promised;
   if (withdrew && bucket.held->primary != self_) {
-    TakeoverAnswer notice;
+    TakeoverReply notice;
     notice.bucket = ask.bucket;
     notice.ballot = ask.ballot;
     notice.promised = bucket.promised;
@@ -507,10 +507,10 @@
   }
 }
 
-void ClaimKeeper::On(const Sender& sender,
-                     const ClaimSettle& settle,
-                     TimePoint now,
-                     Outbox& out) {
+void ClaimReplica::On(const Sender& sender,
+                      const ClaimSettle& settle,
+                      TimePoint now,
+                      Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(settle.bucket)];
   ClaimSettled settled{settle.ballot, settle.record.claim, false, {}};
   // After a promise the records have been handed over. An end stored here now
@@ -525,7 +525,7 @@
     const std::size_t size =
         settle.record.answer ? settle.record.answer->body.size() : 0;
     const bool keep_answer =
-        size <= options_.largest_answer &&
+        size <= options_.max_answer_bytes &&
         usage_.answer_bytes + size <= options_.max_total_answer_bytes;
     bucket.records.End(settle.record, keep_answer, now);
   } else {
@@ -534,17 +534,17 @@
   out.Send(sender.host, std::move(settled));
 }
 
-ClaimKeeperStatus ClaimKeeper::Status() const {
-  ClaimKeeperStatus status;
+ClaimReplicaStatus ClaimReplica::Status() const {
+  ClaimReplicaStatus status;
   status.usage = usage_;
   for (const Bucket& it : buckets_) {
-    status.taking_over += it.takeover ? 1 : 0;
+    status.pending_takeovers += it.takeover ? 1 : 0;
     status.holds += it.held ? 1 : 0;
     if (!it.held || !IsActiveUnder(it, it.held->ballot)) {
       continue;
     }
-    status.first_of += it.held->primary == self_ ? 1 : 0;
-    status.second_of += it.held->primary != self_ ? 1 : 0;
+    status.primary_buckets += it.held->primary == self_ ? 1 : 0;
+    status.secondary_buckets += it.held->primary != self_ ? 1 : 0;
   }
   return status;
 }
--- a/fleet/claim_keeper.h
+++ b/fleet/claim_replica.h
@@ -1,5 +1,5 @@
-#ifndef FLEET_CLAIM_KEEPER_H_
-#define FLEET_CLAIM_KEEPER_H_
+#ifndef FLEET_CLAIM_REPLICA_H_
+#define FLEET_CLAIM_REPLICA_H_
 
 #include <cstdint>
 #include <map>
@@ -15,16 +15,16 @@
 namespace damasktack {
 
 // State of the claims stored on one host, for operators.
-struct ClaimKeeperStatus {
+struct ClaimReplicaStatus {
   // Number of buckets with this host as primary and as secondary replica.
-  std::int64_t first_of = 0;
-  std::int64_t second_of = 0;
+  std::int64_t primary_buckets = 0;
+  std::int64_t secondary_buckets = 0;
   // Number of buckets whose records this host stores. Includes buckets promised
   // to a takeover that has not completed, as these records may be the only copy
   // until then.
   std::int64_t holds = 0;
   // Number of buckets that this host is taking over.
-  std::int64_t taking_over = 0;
+  std::int64_t pending_takeovers = 0;
   ClaimUsage usage;
 };
 
@@ -34,36 +34,36 @@
 // it counts to promise not to serve the bucket under a lower ballot and to hand
 // over its records, and completes once all have done so. docs/notes/claims.md
 // gives the proof. Does no I/O: reads no clock and sends through an Outbox.
-class ClaimKeeper {
+class ClaimReplica {
  public:
-  ClaimKeeper(HostId self, Incarnation incarnation, ClaimOptions options);
+  ClaimReplica(HostId self, Incarnation incarnation, ClaimOptions options);
 
   void OnView(const HostView& view);
   void SetCounted(CountedFleet counted);
   void Tick(TimePoint now, Outbox& out);
 
   void On(const Sender& sender,
-          const TakeoverAsk& ask,
+          const TakeoverRequest& ask,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
-          const TakeoverAnswer& answer,
+          const TakeoverReply& answer,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
-          const KeeperInstall& install,
+          const ReplicaInstall& install,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
-          const KeeperInstalled& installed,
+          const ReplicaInstalled& installed,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
-          const ClaimKeepers& replicas,
+          const ClaimReplicas& replicas,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
-          const ClaimAsk& ask,
+          const GrantRequest& ask,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
@@ -72,23 +72,23 @@
           Outbox& out);
 
   // Returns the host to ask about a bucket whose replicas are not known.
-  HostId LikelyKeeper(std::int64_t bucket) const {
+  HostId LikelyPrimary(std::int64_t bucket) const {
     return DesiredReplicas(bucket).primary;
   }
   // Returns the replicas of a bucket with the highest ballot known to this
   // host.
-  const std::optional<ClaimKeepers>& KnownKeepers(std::int64_t bucket) const;
+  const std::optional<ClaimReplicas>& KnownReplicas(std::int64_t bucket) const;
   // Takes note of replicas, if their ballot is higher than the one known.
-  void LearnKeepers(const ClaimKeepers& replicas);
+  void LearnReplicas(const ClaimReplicas& replicas);
   // Returns the ballot under which this host stores records of a bucket, if
   // any.
-  std::optional<ClaimBallot> HeldUnder(std::int64_t bucket) const;
-  ClaimKeeperStatus Status() const;
+  std::optional<ClaimBallot> HeldBallot(std::int64_t bucket) const;
+  ClaimReplicaStatus Status() const;
 
  private:
   struct ReceivedReply {
     Incarnation incarnation = 0;
-    TakeoverAnswer answer;
+    TakeoverReply answer;
   };
   struct Takeover {
     ClaimBallot ballot;
@@ -96,7 +96,7 @@
     TimePoint started_at;
     std::map<HostId, ReceivedReply> replies;
     // Set once the records are complete and are sent to the secondary replica.
-    std::optional<KeeperInstall> install;
+    std::optional<ReplicaInstall> install;
   };
   struct Bucket {
     explicit Bucket(ClaimUsage& usage) : records(usage) {}
@@ -114,8 +114,8 @@
     Incarnation secondary_incarnation = 0;
     // The replicas under the ballot of `records`. Claims are granted only while
     // no higher ballot is promised.
-    std::optional<ClaimKeepers> held;
-    std::optional<ClaimKeepers> known;
+    std::optional<ClaimReplicas> held;
+    std::optional<ClaimReplicas> known;
     ClaimRecords records;
     std::optional<Takeover> takeover;
     TimePoint next_attempt;
@@ -141,7 +141,7 @@
   bool MayBeLost(const Takeover& takeover, const ClaimBallot& accepted) const;
   void AbortTakeover(Bucket& bucket, TimePoint now);
   void Announce(TimePoint now, Outbox& out);
-  ClaimAnswer DecideGrant(Bucket& bucket, const ClaimAsk& ask);
+  GrantReply DecideGrant(Bucket& bucket, const GrantRequest& ask);
 
   const HostId self_;
   const Incarnation incarnation_;
@@ -161,4 +161,4 @@
 
 }  // namespace damasktack
 
-#endif  // FLEET_CLAIM_KEEPER_H_
+#endif  // FLEET_CLAIM_REPLICA_H_
--- a/fleet/crash_exchange.cc
+++ b/fleet/crash_exchange.cc
@@ -10,7 +10,7 @@
 namespace {
 
 void SendTo(std::vector<HostId> hosts,
-            const CrashNews& updates,
+            const CrashUpdates& updates,
             TimePoint now,
             Outbox& out) {
   if (!hosts.empty() && !updates.empty()) {
@@ -21,7 +21,7 @@
 }  // namespace
 
 void CrashExchange::OnPeer(const HostId& host,
-                           CrashListener role,
+                           CrashPeerRole role,
                            TimePoint now,
                            Outbox& out) {
   const auto known = peers_.find(host);
@@ -30,7 +30,7 @@
   }
   peers_[host] = role;
   const std::size_t min_crashes =
-      role == CrashListener::kFollower ? kTellFollowersFrom : 1;
+      role == CrashPeerRole::kFollower ? kMinCrashesForFollowers : 1;
   CrashReport report = quarantine_.Evidence(min_crashes, now);
   if (!report.empty()) {
     out.Send(host, std::move(report));
@@ -41,7 +41,7 @@
   peers_.erase(host);
 }
 
-std::vector<HostId> CrashExchange::PeersWithRole(CrashListener role,
+std::vector<HostId> CrashExchange::PeersWithRole(CrashPeerRole role,
                                                  const HostId& excluded) const {
   std::vector<HostId> hosts;
   for (const auto& [host, it] : peers_) {
@@ -52,43 +52,45 @@
   return hosts;
 }
 
-CrashNews CrashExchange::SelectForFollowers(const CrashNews& updates) const {
-  CrashNews selected;
+CrashUpdates CrashExchange::SelectForFollowers(
+    const CrashUpdates& updates) const {
+  CrashUpdates selected;
   std::set<RequestFingerprint> requests;
-  for (const CrashSighting& it : updates.sightings) {
+  for (const CrashObservation& it : updates.sightings) {
     requests.insert(it.request);
   }
   for (const RequestFingerprint request : requests) {
-    const std::vector<CrashSighting> all = quarantine_.SightingsOf(request);
-    if (all.size() >= kTellFollowersFrom) {
+    const std::vector<CrashObservation> all =
+        quarantine_.ObservationsOf(request);
+    if (all.size() >= kMinCrashesForFollowers) {
       std::ranges::copy(all, std::back_inserter(selected.sightings));
     }
   }
-  for (const CrashNews::Cleared& it : updates.cleared) {
-    if (it.crashes >= kTellFollowersFrom) {
+  for (const CrashUpdates::Cleared& it : updates.cleared) {
+    if (it.crashes >= kMinCrashesForFollowers) {
       selected.cleared.push_back(it);
     }
   }
   return selected;
 }
 
-void CrashExchange::Relay(const CrashNews& updates,
+void CrashExchange::Relay(const CrashUpdates& updates,
                           const HostId& from,
                           TimePoint now,
                           Outbox& out) const {
-  SendTo(PeersWithRole(CrashListener::kSeed, from), updates, now, out);
+  SendTo(PeersWithRole(CrashPeerRole::kSeed, from), updates, now, out);
   // The sender is included: a follower that reported the second crash of a
   // request has not got the report on the first.
-  SendTo(PeersWithRole(CrashListener::kFollower, HostId()),
+  SendTo(PeersWithRole(CrashPeerRole::kFollower, HostId()),
          SelectForFollowers(updates), now, out);
 }
 
 void CrashExchange::Share(TimePoint now, Outbox& out) {
-  const CrashNews updates = quarantine_.TakeNews();
+  const CrashUpdates updates = quarantine_.TakeUpdates();
   if (updates.empty()) {
     return;
   }
-  SendTo(PeersWithRole(CrashListener::kPeer, HostId()), updates, now, out);
+  SendTo(PeersWithRole(CrashPeerRole::kPeer, HostId()), updates, now, out);
   Relay(updates, HostId(), now, out);
 }
 
@@ -96,7 +98,7 @@
                              const CrashReport& report,
                              TimePoint now,
                              Outbox& out) {
-  const CrashNews updates = quarantine_.Take(report, now);
+  const CrashUpdates updates = quarantine_.Take(report, now);
   if (!updates.empty()) {
     Relay(updates, from, now, out);
   }
@@ -117,7 +119,7 @@
   }
   incarnations_ = std::move(reachable);
   for (const auto& [host, incarnation] : incarnations_) {
-    OnPeer(host, CrashListener::kPeer, now, out);
+    OnPeer(host, CrashPeerRole::kPeer, now, out);
   }
 }
 
--- a/fleet/crash_exchange.h
+++ b/fleet/crash_exchange.h
@@ -13,7 +13,7 @@
 namespace damasktack {
 
 // The role of a peer, which determines the crash reports that it gets.
-enum class CrashListener : std::uint8_t {
+enum class CrashPeerRole : std::uint8_t {
   // A peer in a full mesh. Gets the findings of this host itself.
   kPeer,
   // A seed. Gets all reports and relays them.
@@ -30,21 +30,21 @@
 class CrashExchange {
  public:
   // Minimum number of crashes for which followers get reports on a request.
-  static constexpr std::size_t kTellFollowersFrom = 2;
+  static constexpr std::size_t kMinCrashesForFollowers = 2;
 
   explicit CrashExchange(RequestQuarantine& quarantine)
       : quarantine_(quarantine) {}
 
   // Sets a function that runs when there are updates to share, on the thread
   // that caused them.
-  void SetOnNews(std::function<void()> on_updates) {
-    quarantine_.SetOnNews(std::move(on_updates));
+  void SetOnUpdates(std::function<void()> on_updates) {
+    quarantine_.SetOnUpdates(std::move(on_updates));
   }
 
   // Adds a peer and sends it the evidence so far. Does nothing if the peer is
   // known with the same role.
   void OnPeer(const HostId& host,
-              CrashListener role,
+              CrashPeerRole role,
               TimePoint now,
               Outbox& out);
   void OnPeerGone(const HostId& host);
@@ -64,19 +64,19 @@
   void Tick(TimePoint now, Outbox& out) { Share(now, out); }
 
  private:
-  std::vector<HostId> PeersWithRole(CrashListener role,
+  std::vector<HostId> PeersWithRole(CrashPeerRole role,
                                     const HostId& excluded) const;
   // Sends updates to followers, and to all seeds except `from`.
-  void Relay(const CrashNews& updates,
+  void Relay(const CrashUpdates& updates,
              const HostId& from,
              TimePoint now,
              Outbox& out) const;
   // Returns the part of the updates that followers get, together with earlier
   // evidence on these requests that was held back.
-  CrashNews SelectForFollowers(const CrashNews& updates) const;
+  CrashUpdates SelectForFollowers(const CrashUpdates& updates) const;
 
   RequestQuarantine& quarantine_;
-  std::map<HostId, CrashListener> peers_;
+  std::map<HostId, CrashPeerRole> peers_;
   // The reachable hosts of the last view.
   std::map<HostId, Incarnation> incarnations_;
 };
--- a/fleet/document_store.cc
+++ b/fleet/document_store.cc
@@ -118,7 +118,7 @@
                               Outbox& out) {
   if (const auto* digest = std::get_if<DocumentDigest>(&message)) {
     OnDigest(sender.host, *digest, now, out);
-  } else if (const auto* request = std::get_if<DocumentAsk>(&message)) {
+  } else if (const auto* request = std::get_if<DocumentRequest>(&message)) {
     if (SlotOf(request->name).version > request->after) {
       Push(sender.host, request->name, out);
     }
@@ -146,14 +146,14 @@
   SendDigest(std::next(peers_.begin(), index)->first, false, out);
 }
 
-void DocumentStore::AskAll(Outbox& out) {
+void DocumentStore::RequestAllDigests(Outbox& out) {
   for (auto& [peer, known] : peers_) {
     known.reset();
     SendDigest(peer, true, out);
   }
 }
 
-bool DocumentStore::HasHeardAll() const {
+bool DocumentStore::HasAllDigests() const {
   return std::ranges::all_of(peers_, [&](const auto& entry) {
     if (!entry.second) {
       return false;
@@ -245,7 +245,7 @@
   slot.requested_at = now;
   slot.requested_version = theirs;
   ++counters_.asks_sent;
-  out.Send(from, DocumentAsk{name, slot.version});
+  out.Send(from, DocumentRequest{name, slot.version});
 }
 
 void DocumentStore::Push(const HostId& to, DocumentName name, Outbox& out) {
--- a/fleet/document_store.h
+++ b/fleet/document_store.h
@@ -83,12 +83,12 @@
   void Tick(TimePoint now, Outbox& out);
 
   // Clears the known versions of the peers and requests the digests of all; see
-  // HasHeardAll.
-  void AskAll(Outbox& out);
-  // Returns whether every connected peer has sent its digest since AskAll or
-  // since it connected, and this host has all versions that they announced or
-  // has refused them.
-  bool HasHeardAll() const;
+  // HasAllDigests.
+  void RequestAllDigests(Outbox& out);
+  // Returns whether every connected peer has sent its digest since
+  // RequestAllDigests or since it connected, and this host has all versions
+  // that they announced or has refused them.
+  bool HasAllDigests() const;
 
   // Null if none is in force.
   std::shared_ptr<const Document> InForce(DocumentName name) const;
--- a/fleet/drain_messages.h
+++ b/fleet/drain_messages.h
@@ -11,17 +11,17 @@
 
 // Tells that an endpoint has recently announced to the sender itself that it is
 // draining.
-struct DrainSighting {
+struct DrainObservation {
   static constexpr std::string_view kKind = "drain-sighting";
 
   ServiceId service;
   EndpointId endpoint;
 
   Json ToJson() const;
-  static leaf::result<DrainSighting> Parse(const Json& json,
-                                           const std::string& path);
+  static leaf::result<DrainObservation> Parse(const Json& json,
+                                              const std::string& path);
 
-  auto operator<=>(const DrainSighting&) const = default;
+  auto operator<=>(const DrainObservation&) const = default;
 };
 
 }  // namespace damasktack
--- a/fleet/drain_sightings.cc
+++ b/fleet/drain_observations.cc
@@ -1,12 +1,12 @@
-#include "fleet/drain_sightings.h"
+#include "fleet/drain_observations.h"
 
 #include <utility>
 
 namespace damasktack {
 
-void DrainSightings::Sighted(const DrainSighting& observation,
-                             TimePoint now,
-                             Outbox& out) {
+void DrainObservations::OnObserved(const DrainObservation& observation,
+                                   TimePoint now,
+                                   Outbox& out) {
   if (sent_.contains(observation) || sent_.size() >= kMaxObservations) {
     return;
   }
@@ -16,13 +16,13 @@
   }
 }
 
-std::set<DrainSighting> DrainSightings::TakeHeard() {
+std::set<DrainObservation> DrainObservations::TakeReceived() {
   return std::exchange(received_, {});
 }
 
-void DrainSightings::OnView(const HostView& view,
-                            TimePoint /*now*/,
-                            Outbox& /*out*/) {
+void DrainObservations::OnView(const HostView& view,
+                               TimePoint /*now*/,
+                               Outbox& /*out*/) {
   peers_.clear();
   for (const PeerView& it : view.peers) {
     if (it.reachable) {
@@ -31,17 +31,17 @@
   }
 }
 
-void DrainSightings::OnMessage(const Sender& /*sender*/,
-                               const PeerMessage& message,
-                               TimePoint /*now*/,
-                               Outbox& /*out*/) {
-  const auto* observation = std::get_if<DrainSighting>(&message);
+void DrainObservations::OnMessage(const Sender& /*sender*/,
+                                  const PeerMessage& message,
+                                  TimePoint /*now*/,
+                                  Outbox& /*out*/) {
+  const auto* observation = std::get_if<DrainObservation>(&message);
   if (observation != nullptr && received_.size() < kMaxObservations) {
     received_.insert(*observation);
   }
 }
 
-void DrainSightings::Tick(TimePoint now, Outbox& /*out*/) {
+void DrainObservations::Tick(TimePoint now, Outbox& /*out*/) {
   std::erase_if(sent_, [&](const auto& entry) {
     return now - entry.second >= kRepeatInterval;
   });
--- a/fleet/drained_zones.cc
+++ b/fleet/drained_zones.cc
@@ -3,7 +3,7 @@
 namespace damasktack {
 
 bool DrainedZones::Take(const ZoneDrain& drain, Revision revision) {
-  if (states_.size() >= kMostZones && !states_.contains(drain.zone)) {
+  if (states_.size() >= kMaxZones && !states_.contains(drain.zone)) {
     return false;
   }
   DrainState& state = states_[drain.zone];
--- a/fleet/drained_zones.h
+++ b/fleet/drained_zones.h
@@ -17,7 +17,7 @@
  public:
   // Maximum number of zones. More than any region has; bounds the memory if
   // other keys are written by mistake.
-  static constexpr std::size_t kMostZones = 1024;
+  static constexpr std::size_t kMaxZones = 1024;
 
   // Take and Retain return whether the set of drained zones has changed.
   // Applies the state of one zone at a revision.
--- a/fleet/endpoint_rate_exchange.cc
+++ b/fleet/endpoint_rate_exchange.cc
@@ -32,7 +32,7 @@
 }
 
 void EndpointRateExchange::Share(TimePoint now, Outbox& out) {
-  SendToPeers(rates_.TakeNews(), HostId(), now, out);
+  SendToPeers(rates_.TakeUpdates(), HostId(), now, out);
 }
 
 void EndpointRateExchange::OnReport(const HostId& from,
@@ -40,7 +40,7 @@
                                     TimePoint now,
                                     Outbox& out) {
   const std::vector<StatedRate> updates = rates_.Take(report, now);
-  if (topology_ == FleetShape::kStar) {
+  if (topology_ == FleetTopology::kStar) {
     SendToPeers(updates, from, now, out);
   }
 }
--- a/fleet/endpoint_rate_exchange.h
+++ b/fleet/endpoint_rate_exchange.h
@@ -13,7 +13,7 @@
 namespace damasktack {
 
 // The connections between the hosts of a fleet.
-enum class FleetShape : std::uint8_t {
+enum class FleetTopology : std::uint8_t {
   // Full mesh. A host sends the statements made to itself to all others.
   kMesh,
   // Hosts are connected to a few seeds, which relay statements that are new to
@@ -26,13 +26,13 @@
 // to it. Not thread-safe; EndpointRates is.
 class EndpointRateExchange {
  public:
-  EndpointRateExchange(EndpointRates& rates, FleetShape topology)
+  EndpointRateExchange(EndpointRates& rates, FleetTopology topology)
       : rates_(rates), topology_(topology) {}
 
   // Sets a function that runs when there are updates to share, on the thread
   // that caused them.
-  void SetOnNews(std::function<void()> on_updates) {
-    rates_.SetOnNews(std::move(on_updates));
+  void SetOnUpdates(std::function<void()> on_updates) {
+    rates_.SetOnUpdates(std::move(on_updates));
   }
 
   // Adds a peer and sends it all limits in force. Does nothing if the peer is
@@ -61,7 +61,7 @@
                    Outbox& out) const;
 
   EndpointRates& rates_;
-  const FleetShape topology_;
+  const FleetTopology topology_;
   // The peers and their incarnations; 0 if the incarnation is not known.
   std::map<HostId, Incarnation> peers_;
 };
--- a/fleet/endpoint_rates.cc
+++ b/fleet/endpoint_rates.cc
@@ -36,12 +36,12 @@
   return report;
 }
 
-void EndpointRates::SetOnNews(std::function<void()> on_updates) {
+void EndpointRates::SetOnUpdates(std::function<void()> on_updates) {
   const std::lock_guard lock(mutex_);
   on_updates_ = std::move(on_updates);
 }
 
-void EndpointRates::SetOnHeard(
+void EndpointRates::SetOnReceived(
     std::function<void(const StatedRate&)> on_received) {
   const std::lock_guard lock(mutex_);
   on_received_ = std::move(on_received);
@@ -92,7 +92,7 @@
   }
 }
 
-std::vector<StatedRate> EndpointRates::TakeNews() {
+std::vector<StatedRate> EndpointRates::TakeUpdates() {
   const std::lock_guard lock(mutex_);
   std::vector<StatedRate> updates;
   for (const EndpointProcess& it : std::exchange(unshared_, {})) {
--- a/fleet/endpoint_rates.h
+++ b/fleet/endpoint_rates.h
@@ -37,15 +37,15 @@
   // Rate limit and burst of the updates that one host sends. Bounds its
   // messages if endpoints change their limit with every answer. An update over
   // the limit is sent with the next change.
-  static constexpr double kNewsPerSecond = 5;
-  static constexpr double kNewsAtOnce = 20;
+  static constexpr double kUpdatesPerSecond = 5;
+  static constexpr double kUpdateBurst = 20;
 
   // Records a statement that an endpoint made to this host.
   void OnStated(const StatedRate& stated);
   // Adds the statements in a peer's report; returns those that changed a limit.
   std::vector<StatedRate> Take(const EndpointRateReport& report, TimePoint now);
   // Returns and clears the statements made to this host since the last call.
-  std::vector<StatedRate> TakeNews();
+  std::vector<StatedRate> TakeUpdates();
   // Returns all limits in force.
   std::vector<StatedRate> InForce() const;
 
@@ -59,8 +59,8 @@
   // report changed a limit. They run on the thread that caused it, without the
   // mutex held. To be set before the first statement, or while no statement is
   // being processed.
-  void SetOnNews(std::function<void()> on_updates);
-  void SetOnHeard(std::function<void(const StatedRate&)> on_received);
+  void SetOnUpdates(std::function<void()> on_updates);
+  void SetOnReceived(std::function<void(const StatedRate&)> on_received);
 
  private:
   // Stores a statement; returns whether it changes the known limit. The caller
@@ -72,7 +72,7 @@
   std::map<EndpointProcess, StatedRate> rates_;
   // Endpoints with updates that have not been sent to peers.
   std::set<EndpointProcess> unshared_;
-  TokenBucket budget_{kNewsPerSecond, kNewsAtOnce};
+  TokenBucket budget_{kUpdatesPerSecond, kUpdateBurst};
   std::function<void()> on_updates_;
   std::function<void(const StatedRate&)> on_received_;
 };
--- a/fleet/fleet_claim_gate.cc
+++ b/fleet/fleet_claim_gate.cc
@@ -91,7 +91,7 @@
   exchange_.Tick(now, out);
 }
 
-bool FleetClaimGate::MayEnd() const {
+bool FleetClaimGate::IsSafeToStop() const {
   const ClaimStatus status = Status();
   // Buckets promised to a takeover are included: if that takeover ends with its
   // host, the records here are the only copy. Without this, the replacement of
--- a/fleet/fleet_claim_gate.h
+++ b/fleet/fleet_claim_gate.h
@@ -34,7 +34,7 @@
   // unavailable.
   void SetWake(std::function<void()> wake);
   // Ignores all peers, whatever the host list says.
-  void SetAlone() { standalone_ = true; }
+  void SetStandalone() { standalone_ = true; }
 
   void OnView(const HostView& view, TimePoint now, Outbox& out);
   void OnMessage(const Sender& sender,
@@ -45,7 +45,7 @@
 
   // Returns whether no claim would be lost if this process ended: every
   // settlement is acknowledged, and every bucket is stored by other hosts.
-  bool MayEnd() const;
+  bool IsSafeToStop() const;
   ClaimStatus Status() const;
 
  private:
--- a/fleet/fleet_limit_gate.h
+++ b/fleet/fleet_limit_gate.h
@@ -5,14 +5,14 @@
 #include <mutex>
 #include <vector>
 
+#include "fleet/limit_allocator.h"
 #include "fleet/limit_gate.h"
-#include "fleet/limit_ledger.h"
 
 namespace damasktack {
 
-// The LimitGate of a daemon in a fleet: a LimitLedger behind a mutex, shared by
-// the threads that serve callers and the fleet loop. Admission depends only on
-// the shares that this host has now and never waits for a message. Also a
+// The LimitGate of a daemon in a fleet: a LimitAllocator behind a mutex, shared
+// by the threads that serve callers and the fleet loop. Admission depends only
+// on the shares that this host has now and never waits for a message. Also a
 // FleetModule.
 class FleetLimitGate : public LimitGate {
  public:
@@ -37,12 +37,12 @@
   void SetContracts(const std::vector<Contract>& contracts);
   // Makes this host own every limit entirely, for a daemon without peers,
   // whatever the host list says.
-  void SetAlone();
+  void SetStandalone();
   void ConfirmGone(const HostId& host, Outbox& out);
-  void HandBack(Outbox& out);
+  void ReturnLeases(Outbox& out);
 
   CountedFleet Counted() const;
-  LimitLedgerStatus Status() const;
+  LimitAllocatorStatus Status() const;
 
  private:
   TimePoint Now(TimePoint caller_time) const;
@@ -50,7 +50,7 @@
   const ReadClock read_clock_;
   bool standalone_ = false;
   mutable std::mutex mutex_;
-  LimitLedger ledger_;
+  LimitAllocator ledger_;
 };
 
 static_assert(FleetModule<FleetLimitGate>);
--- a/fleet/limit_account.cc
+++ b/fleet/limit_account.cc
@@ -130,7 +130,7 @@
 }
 
 std::int64_t LimitAccount::Lend(const HostId& borrower,
-                                const LendAskItem& item,
+                                const LendRequestItem& item,
                                 TimePoint now) {
   RefillTokens(now);
   const std::int64_t left = owned_ - lender_.total();
--- a/fleet/limit_account.h
+++ b/fleet/limit_account.h
@@ -7,8 +7,8 @@
 #include "core/ids.h"
 #include "core/time.h"
 #include "fleet/fleet_module.h"
-#include "fleet/limit_debts.h"
-#include "fleet/limit_loans.h"
+#include "fleet/limit_borrower.h"
+#include "fleet/limit_lender.h"
 #include "fleet/limit_messages.h"
 #include "fleet/limit_options.h"
 
@@ -57,7 +57,7 @@
 
   // Returns the amount lent for the request, 0 if none.
   std::int64_t Lend(const HostId& borrower,
-                    const LendAskItem& item,
+                    const LendRequestItem& item,
                     TimePoint now);
   // Handles the early return of a lease by its borrower.
   void Reclaim(const HostId& borrower, std::uint64_t lease, TimePoint now);
@@ -73,7 +73,7 @@
   // Returns the amount that the expected demand needs beyond what is usable
   // and what has been requested; negative if there is a surplus.
   std::int64_t Shortfall(TimePoint now) const;
-  LimitDebts& borrower() { return borrower_; }
+  LimitBorrower& borrower() { return borrower_; }
   // Returns an amount that a single lender is likely to be able to lend.
   std::int64_t TypicalShare() const;
   // Ends one lease that the expected demand does not need.
@@ -98,8 +98,8 @@
   Duration longest_call_{};
   std::int64_t hosts_ = 1;
   std::int64_t owned_ = 0;
-  LimitLoans lender_;
-  LimitDebts borrower_;
+  LimitLender lender_;
+  LimitBorrower borrower_;
 
   // Token bucket of a rate limit: the calls that may start now, the time of
   // the last refill, and the usable amount at that time.
--- a/fleet/limit_ledger.cc
+++ b/fleet/limit_allocator.cc
@@ -1,4 +1,4 @@
-#include "fleet/limit_ledger.h"
+#include "fleet/limit_allocator.h"
 
 #include <algorithm>
 #include <functional>
@@ -48,9 +48,9 @@
 
 }  // namespace
 
-LimitLedger::LimitLedger(HostId self,
-                         Incarnation incarnation,
-                         LimitOptions options)
+LimitAllocator::LimitAllocator(HostId self,
+                               Incarnation incarnation,
+                               LimitOptions options)
     : options_(options),
       hosts_(self, incarnation, options),
       // Starts at the incarnation, which is random, so that lease numbers of an
@@ -58,15 +58,17 @@
       next_lease_(incarnation),
       next_lender_(std::hash<HostId>()(self)) {}
 
-void LimitLedger::OnView(const HostView& view, TimePoint now, Outbox& /*out*/) {
+void LimitAllocator::OnView(const HostView& view,
+                            TimePoint now,
+                            Outbox& /*out*/) {
   hosts_.OnView(view, now);
   UpdateShares(now);
 }
 
-void LimitLedger::OnMessage(const Sender& sender,
-                            const PeerMessage& message,
-                            TimePoint now,
-                            Outbox& out) {
+void LimitAllocator::OnMessage(const Sender& sender,
+                               const PeerMessage& message,
+                               TimePoint now,
+                               Outbox& out) {
   std::visit(
       [&](const auto& it) {
         if constexpr (requires { On(sender, it, now, out); }) {
@@ -83,10 +85,10 @@
       message);
 }
 
-void LimitLedger::On(const Sender& sender,
-                     const CountAsk& /*ask*/,
-                     TimePoint now,
-                     Outbox& out) {
+void LimitAllocator::On(const Sender& sender,
+                        const CountRequest& /*ask*/,
+                        TimePoint now,
+                        Outbox& out) {
   // Leases granted by an earlier process of the sender are dropped: the new
   // process owns the whole share once every host has acknowledged it.
   for (auto& [customer, accounts] : accounts_) {
@@ -103,39 +105,39 @@
   }
 }
 
-void LimitLedger::On(const Sender& sender,
-                     const CountAck& ack,
-                     TimePoint now,
-                     Outbox& /*out*/) {
+void LimitAllocator::On(const Sender& sender,
+                        const CountAck& ack,
+                        TimePoint now,
+                        Outbox& /*out*/) {
   hosts_.OnAck(sender, ack);
   UpdateShares(now);
 }
 
-void LimitLedger::On(const Sender& /*sender*/,
-                     const GoneHosts& gone,
-                     TimePoint now,
-                     Outbox& out) {
+void LimitAllocator::On(const Sender& /*sender*/,
+                        const GoneHosts& gone,
+                        TimePoint now,
+                        Outbox& out) {
   for (const CountedHost& it : gone.gone) {
     RecordGone(it, now, out);
   }
 }
 
-void LimitLedger::On(const Sender& sender,
-                     const Goodbye& /*goodbye*/,
-                     TimePoint now,
-                     Outbox& out) {
+void LimitAllocator::On(const Sender& sender,
+                        const Goodbye& /*goodbye*/,
+                        TimePoint now,
+                        Outbox& out) {
   RecordGone({sender.host, sender.incarnation}, now, out);
 }
 
-void LimitLedger::On(const Sender& sender,
-                     const LendAsk& ask,
-                     TimePoint now,
-                     Outbox& out) {
+void LimitAllocator::On(const Sender& sender,
+                        const LendRequest& ask,
+                        TimePoint now,
+                        Outbox& out) {
   LendGrant answer;
-  for (const LendAskItem& it : ask.items) {
+  for (const LendRequestItem& it : ask.items) {
     const auto found = accounts_.find(it.customer);
     std::int64_t amount = 0;
-    if (found != accounts_.end() && !handing_back_) {
+    if (found != accounts_.end() && !returning_leases_) {
       LimitAccount& account = found->second.kinds[IndexOf(it.kind)];
       amount = account.Lend(sender.host, it, now);
     }
@@ -146,10 +148,10 @@
   out.Send(sender.host, std::move(answer));
 }
 
-void LimitLedger::On(const Sender& sender,
-                     const LendGrant& grant,
-                     TimePoint now,
-                     Outbox& /*out*/) {
+void LimitAllocator::On(const Sender& sender,
+                        const LendGrant& grant,
+                        TimePoint now,
+                        Outbox& /*out*/) {
   for (const LendGrantItem& it : grant.items) {
     const auto found = accounts_.find(it.customer);
     if (found != accounts_.end()) {
@@ -158,10 +160,10 @@
   }
 }
 
-void LimitLedger::On(const Sender& sender,
-                     const LendReturn& returned,
-                     TimePoint now,
-                     Outbox& /*out*/) {
+void LimitAllocator::On(const Sender& sender,
+                        const LendReturn& returned,
+                        TimePoint now,
+                        Outbox& /*out*/) {
   for (auto& [customer, accounts] : accounts_) {
     for (LimitAccount& it : accounts.kinds) {
       for (const std::uint64_t lease : returned.leases) {
@@ -171,9 +173,9 @@
   }
 }
 
-void LimitLedger::RecordGone(const CountedHost& process,
-                             TimePoint now,
-                             Outbox& out) {
+void LimitAllocator::RecordGone(const CountedHost& process,
+                                TimePoint now,
+                                Outbox& out) {
   if (!hosts_.OnGone(process, now)) {
     return;
   }
@@ -182,7 +184,9 @@
   }
 }
 
-void LimitLedger::ConfirmGone(const HostId& host, TimePoint now, Outbox& out) {
+void LimitAllocator::ConfirmGone(const HostId& host,
+                                 TimePoint now,
+                                 Outbox& out) {
   const CountedHost process = hosts_.ConfirmGone(host, now);
   for (const HostId& it : hosts_.Reachable()) {
     out.Send(it, GoneHosts{{process}});
@@ -190,7 +194,7 @@
   UpdateShares(now);
 }
 
-void LimitLedger::UpdateShares(TimePoint now) {
+void LimitAllocator::UpdateShares(TimePoint now) {
   for (auto& [customer, accounts] : accounts_) {
     for (LimitAccount& it : accounts.kinds) {
       it.SetDivision(hosts_.size(), hosts_.owns(), now);
@@ -198,7 +202,7 @@
   }
 }
 
-bool LimitLedger::IsWithinShares(TimePoint now) const {
+bool LimitAllocator::IsWithinShares(TimePoint now) const {
   for (const auto& [customer, accounts] : accounts_) {
     for (const LimitAccount& it : accounts.kinds) {
       if (it.bounded() && !it.IsWithinShares(now)) {
@@ -209,14 +213,15 @@
   return true;
 }
 
-LimitLedger::Accounts& LimitLedger::AccountsOf(const CustomerId& customer) {
+LimitAllocator::Accounts& LimitAllocator::AccountsOf(
+    const CustomerId& customer) {
   const auto it = accounts_.try_emplace(
       customer, Accounts{{LimitAccount(LimitKind::kRate, options_),
                           LimitAccount(LimitKind::kInFlight, options_)}});
   return it.first->second;
 }
 
-void LimitLedger::Configure(const Contract& contract, TimePoint now) {
+void LimitAllocator::Configure(const Contract& contract, TimePoint now) {
   Accounts& accounts = AccountsOf(contract.customer);
   const Duration longest = LongestDeadlineOf(contract);
   for (const LimitKind kind : {LimitKind::kRate, LimitKind::kInFlight}) {
@@ -226,8 +231,8 @@
   }
 }
 
-void LimitLedger::SetContracts(const std::vector<Contract>& contracts,
-                               TimePoint now) {
+void LimitAllocator::SetContracts(const std::vector<Contract>& contracts,
+                                  TimePoint now) {
   // Accounts in use stay, without a limit. If one with loans were removed and
   // the customer came back at once, the lent shares would be assigned twice.
   for (auto& [customer, accounts] : accounts_) {
@@ -248,7 +253,7 @@
 
 // A call may arrive under a contract that SetContracts has not announced yet,
 // or has already removed. Its limits apply nevertheless.
-void LimitLedger::ConfigureMissing(const Contract& contract, TimePoint now) {
+void LimitAllocator::ConfigureMissing(const Contract& contract, TimePoint now) {
   const Accounts& accounts = AccountsOf(contract.customer);
   for (const LimitKind kind : {LimitKind::kRate, LimitKind::kInFlight}) {
     const bool bounded = accounts.kinds[IndexOf(kind)].bounded();
@@ -259,7 +264,8 @@
   }
 }
 
-LimitGate::Verdict LimitLedger::Enter(const Contract& contract, TimePoint now) {
+LimitGate::Verdict LimitAllocator::Enter(const Contract& contract,
+                                         TimePoint now) {
   ConfigureMissing(contract, now);
   Accounts& accounts = AccountsOf(contract.customer);
   LimitGate::Verdict verdict;
@@ -278,14 +284,14 @@
   return verdict;
 }
 
-void LimitLedger::Leave(const CustomerId& customer, TimePoint /*now*/) {
+void LimitAllocator::Leave(const CustomerId& customer, TimePoint /*now*/) {
   const auto it = accounts_.find(customer);
   if (it != accounts_.end()) {
     it->second.kinds[IndexOf(LimitKind::kInFlight)].EndCall();
   }
 }
 
-void LimitLedger::Tick(TimePoint now, Outbox& out) {
+void LimitAllocator::Tick(TimePoint now, Outbox& out) {
   hosts_.Tick(now);
   if (now < next_round_) {
     return;
@@ -299,25 +305,25 @@
   }
   RequestAcks(now, out);
   GossipGone(now, out);
-  if (!handing_back_) {
+  if (!returning_leases_) {
     Borrow(now, out);
   }
   SendReturns(now, out);
 }
 
-void LimitLedger::RequestAcks(TimePoint now, Outbox& out) {
+void LimitAllocator::RequestAcks(TimePoint now, Outbox& out) {
   if (hosts_.owns() || now < next_ack_request_) {
     return;
   }
   next_ack_request_ = now + options_.resend_interval;
   for (const HostId& it : hosts_.MissingAcks()) {
-    out.Send(it, CountAsk{});
+    out.Send(it, CountRequest{});
   }
 }
 
 // If a goodbye is lost, the share of that host stays unused. Every host that
 // knows of ended processes therefore tells another host each second, in turn.
-void LimitLedger::GossipGone(TimePoint now, Outbox& out) {
+void LimitAllocator::GossipGone(TimePoint now, Outbox& out) {
   const std::vector<HostId> reachable = hosts_.Reachable();
   std::vector<CountedHost> gone = hosts_.Gone();
   if (now < next_gossip_ || reachable.empty() || gone.empty()) {
@@ -328,20 +334,20 @@
   out.Send(target, GoneHosts{std::move(gone)});
 }
 
-void LimitLedger::Borrow(TimePoint now, Outbox& out) {
+void LimitAllocator::Borrow(TimePoint now, Outbox& out) {
   const std::vector<HostId> lenders = hosts_.Reachable();
-  Batch<LendAsk> requests;
+  Batch<LendRequest> requests;
   for (auto& [customer, accounts] : accounts_) {
     for (const LimitKind kind : {LimitKind::kRate, LimitKind::kInFlight}) {
       LimitAccount& account = accounts.kinds[IndexOf(kind)];
-      const auto add = [&,
-                        &customer = customer](const LimitDebts::Request& it) {
+      const auto add = [&, &customer =
+                               customer](const LimitBorrower::Request& it) {
         ++counters_.asks;
         requests.For(it.lender).items.push_back(
             {it.lease, it.renewal, customer, kind, it.amount});
       };
       account.ReturnSurplus(now);
-      for (const LimitDebts::Request& it :
+      for (const LimitBorrower::Request& it :
            account.borrower().TakeDueRequests(now)) {
         add(it);
       }
@@ -361,7 +367,7 @@
   requests.Send(out);
 }
 
-void LimitLedger::SendReturns(TimePoint now, Outbox& out) {
+void LimitAllocator::SendReturns(TimePoint now, Outbox& out) {
   Batch<LendReturn> returns;
   for (auto& [customer, accounts] : accounts_) {
     for (LimitAccount& it : accounts.kinds) {
@@ -370,7 +376,7 @@
       if (!it.IsWithinShares(now)) {
         continue;
       }
-      for (const LimitDebts::Return& ended : it.borrower().TakeReturns()) {
+      for (const LimitBorrower::Return& ended : it.borrower().TakeReturns()) {
         ++counters_.returns;
         returns.For(ended.lender).leases.push_back(ended.lease);
       }
@@ -379,8 +385,8 @@
   returns.Send(out);
 }
 
-void LimitLedger::HandBack(TimePoint now, Outbox& out) {
-  handing_back_ = true;
+void LimitAllocator::ReturnLeases(TimePoint now, Outbox& out) {
+  returning_leases_ = true;
   for (auto& [customer, accounts] : accounts_) {
     for (LimitAccount& it : accounts.kinds) {
       it.borrower().ReturnAll();
@@ -389,8 +395,8 @@
   SendReturns(now, out);
 }
 
-LimitLedgerStatus LimitLedger::Status(TimePoint now) const {
-  LimitLedgerStatus status;
+LimitAllocatorStatus LimitAllocator::Status(TimePoint now) const {
+  LimitAllocatorStatus status;
   status.counted_hosts = hosts_.size();
   status.owns = hosts_.owns();
   status.missing_acks = hosts_.MissingAcks();
@@ -409,9 +415,9 @@
   return status;
 }
 
-std::int64_t LimitLedger::Usable(const CustomerId& customer,
-                                 LimitKind kind,
-                                 TimePoint now) const {
+std::int64_t LimitAllocator::Usable(const CustomerId& customer,
+                                    LimitKind kind,
+                                    TimePoint now) const {
   const auto it = accounts_.find(customer);
   return it == accounts_.end() ? 0
                                : it->second.kinds[IndexOf(kind)].Usable(now);
--- a/fleet/limit_ledger.h
+++ b/fleet/limit_allocator.h
@@ -1,5 +1,5 @@
-#ifndef FLEET_LIMIT_LEDGER_H_
-#define FLEET_LIMIT_LEDGER_H_
+#ifndef FLEET_LIMIT_ALLOCATOR_H_
+#define FLEET_LIMIT_ALLOCATOR_H_
 
 #include <array>
 #include <cstdint>
@@ -34,7 +34,7 @@
   std::uint64_t returns = 0;
 };
 
-struct LimitLedgerStatus {
+struct LimitAllocatorStatus {
   std::int64_t counted_hosts = 1;
   bool owns = false;
   std::vector<HostId> missing_acks;
@@ -48,9 +48,9 @@
 // hosts lend to each other by demand. The sum of the calls that all hosts admit
 // never exceeds a limit, even if messages are lost or late or hosts are cut
 // off. A FleetModule; not thread-safe (see FleetLimitGate).
-class LimitLedger {
+class LimitAllocator {
  public:
-  LimitLedger(HostId self, Incarnation incarnation, LimitOptions options);
+  LimitAllocator(HostId self, Incarnation incarnation, LimitOptions options);
 
   void OnView(const HostView& view, TimePoint now, Outbox& out);
   void OnMessage(const Sender& sender,
@@ -69,12 +69,12 @@
   // has ended, and tells the other hosts.
   void ConfirmGone(const HostId& host, TimePoint now, Outbox& out);
   // Returns all borrowed leases and stops lending, for a graceful stop.
-  void HandBack(TimePoint now, Outbox& out);
+  void ReturnLeases(TimePoint now, Outbox& out);
 
   // Returns the counted hosts, for other modules that must agree on the hosts
   // that may act at the same time.
   CountedFleet Counted() const { return {hosts_.owns(), hosts_.Counted()}; }
-  LimitLedgerStatus Status(TimePoint now) const;
+  LimitAllocatorStatus Status(TimePoint now) const;
   // Returns the amount of one limit that may be used now, in kLimitUnit.
   std::int64_t Usable(const CustomerId& customer,
                       LimitKind kind,
@@ -87,7 +87,7 @@
   };
 
   void On(const Sender& sender,
-          const CountAsk& ask,
+          const CountRequest& ask,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
@@ -102,7 +102,10 @@
           const Goodbye& goodbye,
           TimePoint now,
           Outbox& out);
-  void On(const Sender& sender, const LendAsk& ask, TimePoint now, Outbox& out);
+  void On(const Sender& sender,
+          const LendRequest& ask,
+          TimePoint now,
+          Outbox& out);
   void On(const Sender& sender,
           const LendGrant& grant,
           TimePoint now,
@@ -135,11 +138,11 @@
   TimePoint next_round_;
   TimePoint next_ack_request_;
   TimePoint next_gossip_;
-  bool handing_back_ = false;
+  bool returning_leases_ = false;
 };
 
-static_assert(FleetModule<LimitLedger>);
+static_assert(FleetModule<LimitAllocator>);
 
 }  // namespace damasktack
 
-#endif  // FLEET_LIMIT_LEDGER_H_
+#endif  // FLEET_LIMIT_ALLOCATOR_H_
--- a/fleet/limit_debts.cc
+++ b/fleet/limit_borrower.cc
@@ -1,4 +1,4 @@
-#include "fleet/limit_debts.h"
+#include "fleet/limit_borrower.h"
 
 #include <algorithm>
 #include <utility>
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-std::int64_t LimitDebts::Usable(Duration longest_call, TimePoint now) const {
+std::int64_t LimitBorrower::Usable(Duration longest_call, TimePoint now) const {
   std::int64_t usable = 0;
   for (const Lease& it : leases_) {
     const bool live = now < it.until && longest_call <= it.longest_call;
@@ -25,7 +25,7 @@
   return usable;
 }
 
-std::int64_t LimitDebts::PendingAmount() const {
+std::int64_t LimitBorrower::PendingAmount() const {
   std::int64_t pending = 0;
   for (const PendingRequest& it : pending_) {
     pending += it.request.amount;
@@ -33,16 +33,16 @@
   return pending;
 }
 
-LimitDebts::Request LimitDebts::Borrow(const HostId& lender,
-                                       std::uint64_t lease,
-                                       std::int64_t amount,
-                                       TimePoint now) {
+LimitBorrower::Request LimitBorrower::Borrow(const HostId& lender,
+                                             std::uint64_t lease,
+                                             std::int64_t amount,
+                                             TimePoint now) {
   const Request request{lender, lease, 0, amount};
   pending_.push_back({request, now, now});
   return request;
 }
 
-bool LimitDebts::CanRequestFrom(const HostId& lender, TimePoint now) const {
+bool LimitBorrower::CanRequestFrom(const HostId& lender, TimePoint now) const {
   const bool is_pending = std::any_of(
       pending_.begin(), pending_.end(),
       [&](const PendingRequest& it) { return it.request.lender == lender; });
@@ -52,10 +52,10 @@
   return !is_pending && !refused && leases_.size() < kMaxLeases;
 }
 
-void LimitDebts::OnGrant(const HostId& lender,
-                         Incarnation incarnation,
-                         const LendGrantItem& item,
-                         TimePoint now) {
+void LimitBorrower::OnGrant(const HostId& lender,
+                            Incarnation incarnation,
+                            const LendGrantItem& item,
+                            TimePoint now) {
   const auto is_first = [&](const PendingRequest& it) {
     return it.request.lease == item.lease && it.request.lender == lender;
   };
@@ -96,9 +96,9 @@
 // Backs off exponentially. If all hosts are short of capacity, none can lend,
 // and requests to all of them several times a second would make up most of the
 // traffic between hosts.
-void LimitDebts::RecordRefusal(const HostId& lender,
-                               bool lent_some,
-                               TimePoint now) {
+void LimitBorrower::RecordRefusal(const HostId& lender,
+                                  bool lent_some,
+                                  TimePoint now) {
   const auto it =
       std::find_if(refusals_.begin(), refusals_.end(),
                    [&](const Refusal& one) { return one.lender == lender; });
@@ -111,7 +111,8 @@
   refusals_.push_back({lender, now + wait, wait});
 }
 
-std::vector<LimitDebts::Request> LimitDebts::TakeDueRequests(TimePoint now) {
+std::vector<LimitBorrower::Request> LimitBorrower::TakeDueRequests(
+    TimePoint now) {
   std::vector<Request> due;
   for (PendingRequest& it : pending_) {
     if (it.sent_at + options_.resend_interval <= now) {
@@ -134,7 +135,7 @@
   return due;
 }
 
-void LimitDebts::Expire(TimePoint now) {
+void LimitBorrower::Expire(TimePoint now) {
   std::erase_if(pending_, [&](const PendingRequest& it) {
     return it.requested_at + options_.lease / 2 < now;
   });
@@ -150,7 +151,7 @@
   });
 }
 
-bool LimitDebts::ReturnOne(std::int64_t amount) {
+bool LimitBorrower::ReturnOne(std::int64_t amount) {
   auto largest = leases_.end();
   for (auto it = leases_.begin(); it != leases_.end(); ++it) {
     const bool fits = it->amount <= amount;
@@ -166,7 +167,7 @@
   return true;
 }
 
-void LimitDebts::ReturnAll() {
+void LimitBorrower::ReturnAll() {
   pending_.clear();
   for (const Lease& it : leases_) {
     End(it);
@@ -174,14 +175,14 @@
   leases_.clear();
 }
 
-void LimitDebts::DropOtherIncarnations(const HostId& lender,
-                                       Incarnation incarnation) {
+void LimitBorrower::DropOtherIncarnations(const HostId& lender,
+                                          Incarnation incarnation) {
   std::erase_if(leases_, [&](const Lease& it) {
     return it.lender == lender && it.incarnation != incarnation;
   });
 }
 
-std::vector<LimitDebts::Return> LimitDebts::TakeReturns() {
+std::vector<LimitBorrower::Return> LimitBorrower::TakeReturns() {
   return std::exchange(returns_, {});
 }
 
--- a/fleet/limit_debts.h
+++ b/fleet/limit_borrower.h
@@ -1,5 +1,5 @@
-#ifndef FLEET_LIMIT_DEBTS_H_
-#define FLEET_LIMIT_DEBTS_H_
+#ifndef FLEET_LIMIT_BORROWER_H_
+#define FLEET_LIMIT_BORROWER_H_
 
 #include <cstdint>
 #include <optional>
@@ -15,7 +15,7 @@
 // Keeps the borrower's side of one limit: leases in use and lend requests
 // without an answer. A lease runs from before its request was first sent, so it
 // expires here before it expires at the lender.
-class LimitDebts {
+class LimitBorrower {
  public:
   // A request to one lender. The caller adds the customer and the kind.
   struct Request {
@@ -30,7 +30,7 @@
     std::uint64_t lease = 0;
   };
 
-  explicit LimitDebts(const LimitOptions& options) : options_(options) {}
+  explicit LimitBorrower(const LimitOptions& options) : options_(options) {}
 
   // Returns the sum of the live leases that admit calls of `longest_call`.
   std::int64_t Usable(Duration longest_call, TimePoint now) const;
@@ -104,4 +104,4 @@
 
 }  // namespace damasktack
 
-#endif  // FLEET_LIMIT_DEBTS_H_
+#endif  // FLEET_LIMIT_BORROWER_H_
--- a/fleet/limit_hosts.cc
+++ b/fleet/limit_hosts.cc
@@ -171,9 +171,9 @@
 void LimitHosts::Tick(TimePoint now) {
   // After a start of the whole fleet, no host can tell whether a host that did
   // not come back is down or cut off. One that never sent a message and has
-  // been off the list for orphan_hold is taken as down.
+  // been off the list for orphan_timeout is taken as down.
   for (auto& [host, entry] : entries_) {
-    const bool silent = now - entry.heard_at > options_.orphan_hold;
+    const bool silent = now - entry.heard_at > options_.orphan_timeout;
     entry.ack_waived =
         entry.ack_waived || (entry.incarnation == 0 && !entry.listed && silent);
   }
@@ -268,7 +268,7 @@
   for (const auto& [host, entry] : entries_) {
     const Duration silent = now - entry.heard_at;
     if (!entry.listed && !entry.reachable && !entry.gone_at &&
-        silent > options_.orphan_hold) {
+        silent > options_.orphan_timeout) {
       orphans.push_back({{host, entry.incarnation}, silent});
     }
   }
--- a/fleet/limit_loans.h
+++ b/fleet/limit_lender.h
@@ -1,5 +1,5 @@
-#ifndef FLEET_LIMIT_LOANS_H_
-#define FLEET_LIMIT_LOANS_H_
+#ifndef FLEET_LIMIT_LENDER_H_
+#define FLEET_LIMIT_LENDER_H_
 
 #include <cstdint>
 #include <vector>
@@ -13,17 +13,17 @@
 // Keeps the lender's side of one limit: the shares that other hosts may be
 // using. A share counts as lent from before the grant is sent until `hold`
 // after it, so every use by the borrower ends earlier.
-class LimitLoans {
+class LimitLender {
  public:
   // `hold` covers the lease and the calls that may outlast it.
-  explicit LimitLoans(Duration hold) : hold_(hold) {}
+  explicit LimitLender(Duration hold) : hold_(hold) {}
 
   // Returns the amount lent for the request: up to `spare` for a first request,
   // the same amount as before for a repeated request or a renewal. 0 for the
   // renewal of a lease that has ended, or if `renews` is false because the
   // lender needs the share itself.
   std::int64_t Lend(const HostId& borrower,
-                    const LendAskItem& item,
+                    const LendRequestItem& item,
                     std::int64_t spare,
                     bool renews,
                     TimePoint now);
@@ -53,4 +53,4 @@
 
 }  // namespace damasktack
 
-#endif  // FLEET_LIMIT_LOANS_H_
+#endif  // FLEET_LIMIT_LENDER_H_
--- a/fleet/limit_messages.h
+++ b/fleet/limit_messages.h
@@ -41,18 +41,18 @@
 };
 
 // Asks the receiver to count the sender in the division of limits from now on.
-struct CountAsk {
+struct CountRequest {
   static constexpr std::string_view kKind = "count-ask";
 
   Json ToJson() const;
-  static leaf::result<CountAsk> Parse(const Json& json,
-                                      const std::string& path);
+  static leaf::result<CountRequest> Parse(const Json& json,
+                                          const std::string& path);
 
-  bool operator==(const CountAsk&) const = default;
+  bool operator==(const CountRequest&) const = default;
 };
 
-// Answers a CountAsk: the sender counts process `asker` of the receiver, and
-// the hosts in `counted`.
+// Answers a CountRequest: the sender counts process `asker` of the receiver,
+// and the hosts in `counted`.
 struct CountAck {
   static constexpr std::string_view kKind = "count-ack";
 
@@ -84,7 +84,7 @@
 };
 
 // Requests a lease on a share of a customer's limit, or the renewal of one.
-struct LendAskItem {
+struct LendRequestItem {
   // Identifies the lease, also over renewals. Chosen by the borrower.
   std::uint64_t lease = 0;
   // 0 for the first request, incremented with each renewal.
@@ -95,25 +95,26 @@
   std::int64_t amount = 0;
 
   Json ToJson() const;
-  static leaf::result<LendAskItem> Parse(const Json& json,
-                                         const std::string& path);
+  static leaf::result<LendRequestItem> Parse(const Json& json,
+                                             const std::string& path);
 
-  bool operator==(const LendAskItem&) const = default;
+  bool operator==(const LendRequestItem&) const = default;
 };
 
 // Asks the receiver for leases.
-struct LendAsk {
+struct LendRequest {
   static constexpr std::string_view kKind = "lend-ask";
 
-  std::vector<LendAskItem> items;
+  std::vector<LendRequestItem> items;
 
   Json ToJson() const;
-  static leaf::result<LendAsk> Parse(const Json& json, const std::string& path);
+  static leaf::result<LendRequest> Parse(const Json& json,
+                                         const std::string& path);
 
-  bool operator==(const LendAsk&) const = default;
+  bool operator==(const LendRequest&) const = default;
 };
 
-// Answers one LendAskItem. An amount of 0 is a refusal.
+// Answers one LendRequestItem. An amount of 0 is a refusal.
 struct LendGrantItem {
   std::uint64_t lease = 0;
   std::uint64_t renewal = 0;
@@ -133,7 +134,7 @@
   bool operator==(const LendGrantItem&) const = default;
 };
 
-// Answers a LendAsk, item by item.
+// Answers a LendRequest, item by item.
 struct LendGrant {
   static constexpr std::string_view kKind = "lend-grant";
 
--- a/fleet/limit_options.h
+++ b/fleet/limit_options.h
@@ -18,7 +18,7 @@
   Duration longest_call = std::chrono::minutes(1);
   // A counted host that is not on the host list and has been silent for this
   // long is reported to operators, who have to confirm that it has ended.
-  Duration orphan_hold = std::chrono::minutes(5);
+  Duration orphan_timeout = std::chrono::minutes(5);
   // Interval between updates of demand, leases and requests.
   Duration round_interval = std::chrono::milliseconds(50);
   // Interval after which an unanswered request is sent again.
--- a/fleet/request_quarantine.h
+++ b/fleet/request_quarantine.h
@@ -10,25 +10,25 @@
 
 #include "core/token_bucket.h"
 #include "fleet/crash_messages.h"
-#include "policy/crash_ledger.h"
+#include "policy/crash_tracker.h"
 
 namespace damasktack {
 
 // Findings of this host that its peers may not have yet.
-struct CrashNews {
+struct CrashUpdates {
   struct Cleared {
     ClearedRequest request;
     // Number of confirmed crashes in which it was involved.
     std::size_t crashes = 0;
   };
 
-  std::vector<CrashSighting> sightings;
+  std::vector<CrashObservation> sightings;
   std::vector<Cleared> cleared;
 
   bool empty() const { return sightings.empty() && cleared.empty(); }
 };
 
-CrashReport MakeCrashReport(const CrashNews& updates, TimePoint now);
+CrashReport MakeCrashReport(const CrashUpdates& updates, TimePoint now);
 
 // Quarantines requests that crash endpoints, so that they are not sent to more
 // endpoints, by the evidence of this host and its peers. Thread-safe.
@@ -37,18 +37,18 @@
   // Rate limit and burst of endpoint checks on one host. Bounds the connections
   // for checks and the messages about their results.
   static constexpr double kChecksPerSecond = 20;
-  static constexpr double kChecksAtOnce = 40;
+  static constexpr double kCheckBurst = 40;
 
-  explicit RequestQuarantine(CrashLedgerOptions options = {});
+  explicit RequestQuarantine(CrashTrackerOptions options = {});
 
   // Returns whether any request is suspected. If not, Judge need not be called.
-  bool HoldsAny() const { return holds_any_; }
+  bool HasSuspects() const { return has_suspects_; }
   RequestJudgement Judge(RequestFingerprint request, TimePoint now);
 
   // Records that the connection of a call to an endpoint broke. If true, the
   // caller must check whether the endpoint process has ended, and report the
   // result by OnEndpointEnded or OnEndpointAlive.
-  bool OnBroken(const CrashSighting& sighting);
+  bool OnBroken(const CrashObservation& sighting);
   void OnEndpointEnded(const EndpointProcess& endpoint);
   void OnEndpointAlive(const EndpointProcess& endpoint);
   // Clears a request that an endpoint has answered.
@@ -56,34 +56,35 @@
 
   // Sets a function that runs when there are updates, on the thread that caused
   // them and without the mutex held.
-  void SetOnNews(std::function<void()> on_updates);
+  void SetOnUpdates(std::function<void()> on_updates);
   // Returns and clears the findings of this host since the last call.
-  CrashNews TakeNews();
+  CrashUpdates TakeUpdates();
   // Adds the findings of a peer; returns those that were not known.
-  CrashNews Take(const CrashReport& report, TimePoint now);
+  CrashUpdates Take(const CrashReport& report, TimePoint now);
   // Returns the evidence on requests with at least `min_crashes` crashes, those
   // with the most crashes first.
   CrashReport Evidence(std::size_t min_crashes, TimePoint now) const;
   // Returns all evidence on one request.
-  std::vector<CrashSighting> SightingsOf(RequestFingerprint request) const;
+  std::vector<CrashObservation> ObservationsOf(
+      RequestFingerprint request) const;
 
   // Returns the metrics in the Prometheus text format.
   std::string RenderMetrics() const;
 
  private:
   // The caller must hold the mutex for the following three.
-  void KeepNews(const CrashSighting& sighting);
-  void LogIfQuarantined(const CrashSighting& sighting) const;
-  void NoteSize() { holds_any_ = !ledger_.empty(); }
+  void RecordUpdate(const CrashObservation& sighting);
+  void LogIfQuarantined(const CrashObservation& sighting) const;
+  void UpdateHasSuspects() { has_suspects_ = !ledger_.empty(); }
 
-  void TellNews();
+  void NotifyUpdates();
 
   mutable std::mutex mutex_;
-  CrashLedger ledger_;
-  TokenBucket checks_{kChecksPerSecond, kChecksAtOnce};
-  CrashNews updates_;
+  CrashTracker ledger_;
+  TokenBucket checks_{kChecksPerSecond, kCheckBurst};
+  CrashUpdates updates_;
   std::function<void()> on_updates_;
-  std::atomic<bool> holds_any_ = false;
+  std::atomic<bool> has_suspects_ = false;
   std::uint64_t endpoints_ended_ = 0;
   std::uint64_t refused_ = 0;
 };
--- a/tests/fleet/test_claim_exchange.cc
+++ b/tests/fleet/test_claim_exchange.cc
@@ -6,7 +6,7 @@
 #include <map>
 #include <set>
 
-#include "fleet/limit_ledger.h"
+#include "fleet/limit_allocator.h"
 #include "tests/fleet/fake_fleet.h"
 
 namespace damasktack {
@@ -58,7 +58,7 @@
     return options;
   }
 
-  LimitLedger limits_;
+  LimitAllocator limits_;
   ClaimExchange claims_;
 };
 
@@ -135,7 +135,7 @@
         if (!fleet_.Alive(it)) {
           continue;
         }
-        const auto held = fleet_.At(it).claims().replica().HeldUnder(bucket);
+        const auto held = fleet_.At(it).claims().replica().HeldBallot(bucket);
         if (held && newest < *held) {
           newest = *held;
           others = false;
@@ -398,8 +398,9 @@
   // Buckets promised to the takeover are still held. A graceful stop of this
   // host must wait, as otherwise both copies could be lost before the new
   // replicas have theirs.
-  const ClaimKeeperStatus waiting = fleet.At(2).claims().Status().replica;
-  CHECK(waiting.first_of + waiting.second_of < Options().buckets);
+  const ClaimReplicaStatus waiting = fleet.At(2).claims().Status().replica;
+  CHECK(waiting.primary_buckets + waiting.secondary_buckets <
+        Options().buckets);
   CHECK(waiting.holds == Options().buckets);
   fleet.Cut(0, 2, false);
   simulation.Advance(seconds(1));
--- a/tests/fleet/test_claim_messages.cc
+++ b/tests/fleet/test_claim_messages.cc
@@ -8,7 +8,7 @@
 
 TEST_CASE("claim messages are decoded as they were encoded") {
   const ClaimBallot ballot{~std::uint64_t{0}, HostId("h1"), 7};
-  const ClaimKeepers replicas{255, ballot, HostId("h1"), HostId("h2")};
+  const ClaimReplicas replicas{255, ballot, HostId("h1"), HostId("h2")};
   // A key and a body may hold bytes that are not valid UTF-8.
   const ClaimRecord record{CustomerId("parks"),
                            "key-\xff",
@@ -19,13 +19,13 @@
                            KeptAnswer{200, "", "\xff body"}};
   const std::vector<PeerMessage> sent{
       replicas,
-      TakeoverAsk{3, ballot},
-      TakeoverAnswer{3, ballot, {}, ballot, true, {record}},
-      KeeperInstall{replicas, {record}},
-      KeeperInstalled{3, ballot},
-      ClaimAsk{3, {}, record},
-      ClaimAnswer{3, ballot, CustomerId("parks"), "key", 9,
-                  ClaimVerdict::kAlreadyRan, record.answer, replicas},
+      TakeoverRequest{3, ballot},
+      TakeoverReply{3, ballot, {}, ballot, true, {record}},
+      ReplicaInstall{replicas, {record}},
+      ReplicaInstalled{3, ballot},
+      GrantRequest{3, {}, record},
+      GrantReply{3, ballot, CustomerId("parks"), "key", 9,
+                 ClaimVerdict::kAlreadyRan, record.answer, replicas},
       ClaimSettle{3, ballot, record},
       ClaimSettled{ballot, 9, true, replicas}};
   for (const PeerMessage& it : sent) {
--- a/tests/fleet/test_drain_sightings.cc
+++ b/tests/fleet/test_drain_observations.cc
@@ -1,4 +1,4 @@
-#include "fleet/drain_sightings.h"
+#include "fleet/drain_observations.h"
 
 #include <doctest/doctest.h>
 
@@ -6,7 +6,7 @@
 namespace {
 
 const TimePoint kNow = TimePoint() + std::chrono::hours(1);
-const DrainSighting kObservation{ServiceId("dispatch"), EndpointId("e1")};
+const DrainObservation kObservation{ServiceId("dispatch"), EndpointId("e1")};
 
 HostView ViewOfTwoPeers() {
   HostView view;
@@ -22,38 +22,39 @@
 // that has not called it for a while would still send it calls ten seconds
 // later.
 TEST_CASE("an observation is sent to reachable peers, once a second") {
-  DrainSightings drains;
+  DrainObservations drains;
   Outbox out;
   drains.OnView(ViewOfTwoPeers(), kNow, out);
-  drains.Sighted(kObservation, kNow, out);
-  drains.Sighted(kObservation, kNow, out);
+  drains.OnObserved(kObservation, kNow, out);
+  drains.OnObserved(kObservation, kNow, out);
   const auto sent = out.Take();
   REQUIRE(sent.size() == 1);
   CHECK(sent[0].to == HostId("h1"));
-  CHECK(std::get<DrainSighting>(sent[0].message) == kObservation);
-  drains.Tick(kNow + DrainSightings::kRepeatInterval, out);
-  drains.Sighted(kObservation, kNow + DrainSightings::kRepeatInterval, out);
+  CHECK(std::get<DrainObservation>(sent[0].message) == kObservation);
+  drains.Tick(kNow + DrainObservations::kRepeatInterval, out);
+  drains.OnObserved(kObservation, kNow + DrainObservations::kRepeatInterval,
+                    out);
   CHECK(out.Take().size() == 1);
 }
 
 TEST_CASE("a received observation is returned once and not forwarded") {
-  DrainSightings drains;
+  DrainObservations drains;
   Outbox out;
   drains.OnView(ViewOfTwoPeers(), kNow, out);
   drains.OnMessage({HostId("h1"), 1}, kObservation, kNow, out);
-  CHECK(drains.TakeHeard() == std::set<DrainSighting>{kObservation});
-  CHECK(drains.TakeHeard().empty());
+  CHECK(drains.TakeReceived() == std::set<DrainObservation>{kObservation});
+  CHECK(drains.TakeReceived().empty());
   CHECK(out.Take().empty());
 }
 
 TEST_CASE("the number of received observations is bounded") {
-  DrainSightings drains;
+  DrainObservations drains;
   Outbox out;
-  for (std::size_t n = 0; n < 2 * DrainSightings::kMaxObservations; ++n) {
-    const DrainSighting each{ServiceId("s"), EndpointId(std::to_string(n))};
+  for (std::size_t n = 0; n < 2 * DrainObservations::kMaxObservations; ++n) {
+    const DrainObservation each{ServiceId("s"), EndpointId(std::to_string(n))};
     drains.OnMessage({HostId("h1"), 1}, each, kNow, out);
   }
-  CHECK(drains.TakeHeard().size() == DrainSightings::kMaxObservations);
+  CHECK(drains.TakeReceived().size() == DrainObservations::kMaxObservations);
 }
 
 }  // namespace
--- a/tests/fleet/test_endpoint_rate_exchange.cc
+++ b/tests/fleet/test_endpoint_rate_exchange.cc
@@ -24,7 +24,7 @@
 // to each other. Delivers messages at once.
 class RateFleet {
  public:
-  RateFleet(FleetShape topology, int hosts) : topology_(topology) {
+  RateFleet(FleetTopology topology, int hosts) : topology_(topology) {
     for (int n = 0; n < hosts; ++n) {
       Start(n);
     }
@@ -73,8 +73,8 @@
   static constexpr int kSeeds = 3;
 
   struct Host {
-    explicit Host(FleetShape topology) : exchange(rates, topology) {
-      rates.SetOnNews([this] { has_updates = true; });
+    explicit Host(FleetTopology topology) : exchange(rates, topology) {
+      rates.SetOnUpdates([this] { has_updates = true; });
     }
     EndpointRates rates;
     EndpointRateExchange exchange;
@@ -90,7 +90,7 @@
   bool IsLinked(int a, int b) const {
     const int low = std::min(a, b);
     const int high = std::max(a, b);
-    return topology_ == FleetShape::kMesh || high < kSeeds ||
+    return topology_ == FleetTopology::kMesh || high < kSeeds ||
            low == high % kSeeds;
   }
   void AddPeer(const HostId& host, const HostId& peer) {
@@ -117,7 +117,7 @@
     }
   }
 
-  const FleetShape topology_;
+  const FleetTopology topology_;
   TimePoint now_ = TimePoint() + std::chrono::hours(10);
   std::map<HostId, std::unique_ptr<Host>> hosts_;
   std::deque<Frame> queue_;
@@ -130,7 +130,8 @@
 // Guards against an overloaded endpoint that has to state its limit to each
 // host of a large fleet itself, which takes one request per host.
 TEST_CASE("all hosts receive a limit that an endpoint has stated to one") {
-  for (const FleetShape topology : {FleetShape::kMesh, FleetShape::kStar}) {
+  for (const FleetTopology topology :
+       {FleetTopology::kMesh, FleetTopology::kStar}) {
     RateFleet fleet(topology, kHosts);
     fleet.State(kHosts - 1, 1.5);
     CHECK(fleet.CountHostsWithLimit(1.5) == kHosts);
@@ -142,7 +143,8 @@
 }
 
 TEST_CASE("a starting host receives the limits in force") {
-  for (const FleetShape topology : {FleetShape::kMesh, FleetShape::kStar}) {
+  for (const FleetTopology topology :
+       {FleetTopology::kMesh, FleetTopology::kStar}) {
     RateFleet fleet(topology, kHosts);
     fleet.State(4, 1.5);
     fleet.Start(17);
@@ -163,7 +165,7 @@
 }
 
 TEST_CASE("a change costs few frames per host in a star") {
-  RateFleet fleet(FleetShape::kStar, 500);
+  RateFleet fleet(FleetTopology::kStar, 500);
   const int before = fleet.frames();
   const std::size_t bytes_before = fleet.bytes();
   fleet.State(333, 1.5);
@@ -176,7 +178,7 @@
 // Guards against an unbounded number of messages if an endpoint alternately
 // states and withdraws a limit.
 TEST_CASE("an endpoint that changes its limit continually costs few messages") {
-  RateFleet fleet(FleetShape::kStar, kHosts);
+  RateFleet fleet(FleetTopology::kStar, kHosts);
   const int before = fleet.frames();
   constexpr int kChanges = 1000;
   for (int n = 0; n < kChanges; ++n) {
--- a/tests/fleet/test_limit_ledger.cc
+++ b/tests/fleet/test_limit_allocator.cc
@@ -1,4 +1,4 @@
-#include "fleet/limit_ledger.h"
+#include "fleet/limit_allocator.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -249,9 +249,10 @@
 // limit differently, or because a lent share is used by lender and borrower.
 // Generated schedules combine these events.
 TEST_CASE("the calls admitted by all hosts never exceed the limit") {
-  CHECK(NeverExceedsLimit<LimitLedger>(MakeContract(0, kInFlight), 0));
-  CHECK(NeverExceedsLimit<LimitLedger>(MakeContract(kRate, 0), 1));
-  CHECK(NeverExceedsLimit<LimitLedger>(MakeContract(kRate, 2 * kInFlight), 2));
+  CHECK(NeverExceedsLimit<LimitAllocator>(MakeContract(0, kInFlight), 0));
+  CHECK(NeverExceedsLimit<LimitAllocator>(MakeContract(kRate, 0), 1));
+  CHECK(
+      NeverExceedsLimit<LimitAllocator>(MakeContract(kRate, 2 * kInFlight), 2));
 }
 
 // Checks that the simulation detects the fault it was written for: division by
@@ -268,7 +269,7 @@
 }
 
 TEST_CASE("two of fifteen hosts borrow most of a limit within two seconds") {
-  LimitSimulation<LimitLedger> simulation(15, 7, MakeContract(3000, 0));
+  LimitSimulation<LimitAllocator> simulation(15, 7, MakeContract(3000, 0));
   for (int n = 0; n < 50; ++n) {
     simulation.Advance(milliseconds(10));
   }
@@ -285,7 +286,7 @@
 }
 
 TEST_CASE("one host borrows all of a limit smaller than the number of hosts") {
-  LimitSimulation<LimitLedger> simulation(15, 7, MakeContract(0, 3));
+  LimitSimulation<LimitAllocator> simulation(15, 7, MakeContract(0, 3));
   for (int n = 0; n < 300; ++n) {
     simulation.Call(0, milliseconds(500));
     simulation.Advance(milliseconds(10));
@@ -302,7 +303,7 @@
 }
 
 TEST_CASE("a single host owns the whole limit") {
-  LimitSimulation<LimitLedger> simulation(1, 7, MakeContract(0, 5));
+  LimitSimulation<LimitAllocator> simulation(1, 7, MakeContract(0, 5));
   int admitted = 0;
   for (int n = 0; n < 8; ++n) {
     admitted += simulation.Call(0, seconds(1)) ? 1 : 0;
@@ -315,7 +316,7 @@
 // it. The acknowledgements of the other hosts name the host that is cut off, so
 // the new host owns no share until an operator confirms that host as gone.
 TEST_CASE("a new host owns no share while a cut-off host may own one") {
-  LimitSimulation<LimitLedger> simulation(4, 3, MakeContract(0, 12));
+  LimitSimulation<LimitAllocator> simulation(4, 3, MakeContract(0, 12));
   auto& fleet = simulation.fleet();
   for (int n = 0; n < 20; ++n) {
     simulation.Advance(milliseconds(20));
@@ -351,9 +352,9 @@
 
 // All hosts start at once and one of them never comes up. No host can tell
 // whether that host is down, or cut off and serving. So no host owns a share
-// until the missing host has been off the host list for orphan_hold.
+// until the missing host has been off the host list for orphan_timeout.
 TEST_CASE("a host that never came up blocks a new fleet only for a time") {
-  LimitSimulation<LimitLedger> simulation(3, 3, MakeContract(0, 6), 1);
+  LimitSimulation<LimitAllocator> simulation(3, 3, MakeContract(0, 6), 1);
   auto& fleet = simulation.fleet();
   for (int n = 0; n < 100; ++n) {
     simulation.Advance(seconds(1));
@@ -374,7 +375,7 @@
 
 TEST_CASE(
     "the share of a host that left is divided once its leases have ended") {
-  LimitSimulation<LimitLedger> simulation(3, 3, MakeContract(0, 6));
+  LimitSimulation<LimitAllocator> simulation(3, 3, MakeContract(0, 6));
   for (int n = 0; n < 20; ++n) {
     simulation.Advance(milliseconds(20));
   }
