--- a/fleet/claim_client.h
+++ b/fleet/claim_client.h
@@ -50,7 +50,7 @@
               Outbox& out);
 
   void On(const Sender& sender,
-          const GrantReply& answer,
+          const GrantReply& reply,
           ClaimReplica& replica,
           TimePoint now,
           Outbox& out);
--- a/fleet/claim_records.h
+++ b/fleet/claim_records.h
@@ -17,6 +17,7 @@
 // Size of the records of all buckets on one host.
 struct ClaimUsage {
   std::int64_t records = 0;
+  // Records of claims that have not ended.
   std::int64_t granted = 0;
   std::size_t answer_bytes = 0;
 };
--- a/fleet/claim_replica.cc
+++ b/fleet/claim_replica.cc
@@ -207,11 +207,11 @@
     out.Send(takeover.install->replicas.secondary, *takeover.install);
     return;
   }
-  const TakeoverRequest ask{index, takeover.ballot};
-  out.Send(self_, ask);
+  const TakeoverRequest message{index, takeover.ballot};
+  out.Send(self_, message);
   for (const CountedHost& it : counted_.others) {
     if (!takeover.replies.contains(it.host)) {
-      out.Send(it.host, ask);
+      out.Send(it.host, message);
     }
   }
 }
@@ -226,64 +226,64 @@
 }
 
 void ClaimReplica::On(const Sender& sender,
-                      const TakeoverRequest& ask,
+                      const TakeoverRequest& message,
                       TimePoint now,
                       Outbox& out) {
-  Bucket& bucket = buckets_[static_cast<std::size_t>(ask.bucket)];
-  TakeoverReply answer;
-  answer.bucket = ask.bucket;
-  answer.ballot = ask.ballot;
-  answer.counted = counted_.owns;
-  if (bucket.promised < ask.ballot) {
+  Bucket& bucket = buckets_[static_cast<std::size_t>(message.bucket)];
+  TakeoverReply reply;
+  reply.bucket = message.bucket;
+  reply.ballot = message.ballot;
+  reply.counted = counted_.owns;
+  if (bucket.promised < message.ballot) {
     bucket.promised_before = bucket.promised;
-    bucket.promised = ask.ballot;
+    bucket.promised = message.ballot;
   }
   // A repeated request gets the same answer.
-  const bool promises = bucket.promised == ask.ballot;
-  answer.promised = promises ? bucket.promised_before : bucket.promised;
+  const bool promises = bucket.promised == message.ballot;
+  reply.promised = promises ? bucket.promised_before : bucket.promised;
   if (promises) {
     // From now on this host grants nothing under a lower ballot, so the records
     // in the answer are complete.
     if (bucket.held) {
-      answer.accepted = bucket.held->ballot;
-      answer.records = bucket.records.Export(kHandoverAnswerBytes, now);
+      reply.accepted = bucket.held->ballot;
+      reply.records = bucket.records.Export(kHandoverAnswerBytes, now);
     }
-    if (bucket.takeover && bucket.takeover->ballot < ask.ballot) {
+    if (bucket.takeover && bucket.takeover->ballot < message.ballot) {
       AbortTakeover(bucket, now);
     }
   }
-  out.Send(sender.host, std::move(answer));
+  out.Send(sender.host, std::move(reply));
 }
 
 void ClaimReplica::On(const Sender& sender,
-                      const TakeoverReply& answer,
+                      const TakeoverReply& reply,
                       TimePoint now,
                       Outbox& out) {
-  Bucket& bucket = buckets_[static_cast<std::size_t>(answer.bucket)];
+  Bucket& bucket = buckets_[static_cast<std::size_t>(reply.bucket)];
   const bool withdrawn =
       !bucket.takeover && bucket.held && bucket.held->primary == self_ &&
-      bucket.held->ballot == answer.ballot && answer.ballot < answer.promised;
+      bucket.held->ballot == reply.ballot && reply.ballot < reply.promised;
   if (withdrawn) {
     // The secondary replica has promised a takeover by another host that never
     // completed. It refuses claims until the bucket is taken over again.
     bucket.secondary_incarnation = 0;
     bucket.highest_counter =
-        std::max(bucket.highest_counter, answer.promised.counter);
+        std::max(bucket.highest_counter, reply.promised.counter);
     return;
   }
-  if (!bucket.takeover || bucket.takeover->ballot != answer.ballot ||
+  if (!bucket.takeover || bucket.takeover->ballot != reply.ballot ||
       bucket.takeover->install) {
     return;
   }
-  if (answer.ballot < answer.promised) {
+  if (reply.ballot < reply.promised) {
     bucket.highest_counter =
-        std::max(bucket.highest_counter, answer.promised.counter);
+        std::max(bucket.highest_counter, reply.promised.counter);
     AbortTakeover(bucket, now);
     return;
   }
   bucket.takeover->replies.insert_or_assign(
-      sender.host, ReceivedReply{sender.incarnation, answer});
-  InstallIfAllReplied(answer.bucket, now, out);
+      sender.host, ReceivedReply{sender.incarnation, reply});
+  InstallIfAllReplied(reply.bucket, now, out);
 }
 
 // Once every host that may be a replica has promised, the records under the
@@ -307,10 +307,10 @@
   }
   const auto secondary = takeover.replies.find(wanted.secondary);
   const bool secondary_may_store =
-      secondary != takeover.replies.end() && secondary->second.answer.counted;
+      secondary != takeover.replies.end() && secondary->second.reply.counted;
   // Later takeovers must ask the secondary replica, so every host must count
   // it. A host that has just started is asked again until it owns a share of
-  // the limits. If its first answer were final, the bucket would be unavailable
+  // the limits. If its first reply were final, the bucket would be unavailable
   // until this takeover times out, and a host that stops meanwhile would end
   // without having handed over the bucket.
   if (!secondary_may_store) {
@@ -318,8 +318,8 @@
     return;
   }
   ClaimBallot accepted;
-  for (const auto& [host, replies] : takeover.replies) {
-    accepted = std::max(accepted, replies.answer.accepted);
+  for (const auto& [host, received] : takeover.replies) {
+    accepted = std::max(accepted, received.reply.accepted);
   }
   // No host has the records of the highest known ballot: both replicas are
   // lost, or this is the first start of the fleet. A call granted under that
@@ -333,9 +333,9 @@
   }
   bucket.lost_since.reset();
   std::vector<std::vector<ClaimRecord>> records;
-  for (const auto& [host, replies] : takeover.replies) {
-    if (replies.answer.accepted == accepted) {
-      records.push_back(replies.answer.records);
+  for (const auto& [host, received] : takeover.replies) {
+    if (received.reply.accepted == accepted) {
+      records.push_back(received.reply.records);
     }
   }
   ReplicaInstall install;
@@ -358,7 +358,7 @@
   }
   return std::any_of(
       takeover.replies.begin(), takeover.replies.end(), [&](const auto& it) {
-        const ClaimBallot& promised = it.second.answer.promised;
+        const ClaimBallot& promised = it.second.reply.promised;
         const auto host = takeover.replies.find(promised.host);
         const bool answers = host != takeover.replies.end() &&
                              host->second.incarnation == promised.incarnation;
@@ -457,15 +457,16 @@
   }
 }
 
-GrantReply ClaimReplica::DecideGrant(Bucket& bucket, const GrantRequest& ask) {
-  const ClaimRecord& request = ask.request;
+GrantReply ClaimReplica::DecideGrant(Bucket& bucket,
+                                     const GrantRequest& message) {
+  const ClaimRecord& request = message.request;
   GrantReply answer;
-  answer.bucket = ask.bucket;
-  answer.ballot = ask.ballot;
+  answer.bucket = message.bucket;
+  answer.ballot = message.ballot;
   answer.customer = request.customer;
   answer.key = request.key;
   answer.claim = request.claim;
-  if (!IsActiveUnder(bucket, ask.ballot)) {
+  if (!IsActiveUnder(bucket, message.ballot)) {
     answer.replicas = bucket.known;
     return answer;
   }
@@ -491,17 +492,17 @@
 }
 
 void ClaimReplica::On(const Sender& sender,
-                      const GrantRequest& ask,
+                      const GrantRequest& message,
                       TimePoint /*now*/,
                       Outbox& out) {
-  Bucket& bucket = buckets_[static_cast<std::size_t>(ask.bucket)];
-  out.Send(sender.host, DecideGrant(bucket, ask));
-  const bool withdrew = bucket.held && bucket.held->ballot == ask.ballot &&
-                        ask.ballot < bucket.promised;
+  Bucket& bucket = buckets_[static_cast<std::size_t>(message.bucket)];
+  out.Send(sender.host, DecideGrant(bucket, message));
+  const bool withdrew = bucket.held && bucket.held->ballot == message.ballot &&
+                        message.ballot < bucket.promised;
   if (withdrew && bucket.held->primary != self_) {
     TakeoverReply notice;
-    notice.bucket = ask.bucket;
-    notice.ballot = ask.ballot;
+    notice.bucket = message.bucket;
+    notice.ballot = message.ballot;
     notice.promised = bucket.promised;
     out.Send(bucket.held->primary, std::move(notice));
   }
--- a/fleet/claim_replica.h
+++ b/fleet/claim_replica.h
@@ -43,11 +43,11 @@
   void Tick(TimePoint now, Outbox& out);
 
   void On(const Sender& sender,
-          const TakeoverRequest& ask,
+          const TakeoverRequest& message,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
-          const TakeoverReply& answer,
+          const TakeoverReply& reply,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
@@ -63,7 +63,7 @@
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
-          const GrantRequest& ask,
+          const GrantRequest& message,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
@@ -71,7 +71,8 @@
           TimePoint now,
           Outbox& out);
 
-  // Returns the host to ask about a bucket whose replicas are not known.
+  // Returns the host that should be the primary replica of a bucket, to be
+  // asked if its replicas are not known.
   HostId LikelyPrimary(std::int64_t bucket) const {
     return DesiredReplicas(bucket).primary;
   }
@@ -88,7 +89,7 @@
  private:
   struct ReceivedReply {
     Incarnation incarnation = 0;
-    TakeoverReply answer;
+    TakeoverReply reply;
   };
   struct Takeover {
     ClaimBallot ballot;
@@ -135,18 +136,21 @@
   void StartTakeoverIfNeeded(std::int64_t index, TimePoint now, Outbox& out);
   void BeginTakeover(std::int64_t index, TimePoint now, Outbox& out);
   void ContinueTakeover(std::int64_t index, TimePoint now, Outbox& out);
+  // Sends the merged records to the secondary replica once all counted hosts
+  // have replied to the takeover.
   void InstallIfAllReplied(std::int64_t index, TimePoint now, Outbox& out);
   void CompleteTakeover(std::int64_t index, TimePoint now, Outbox& out);
   // Whether a ballot above `accepted` may have granted claims.
   bool MayBeLost(const Takeover& takeover, const ClaimBallot& accepted) const;
   void AbortTakeover(Bucket& bucket, TimePoint now);
   void Announce(TimePoint now, Outbox& out);
-  GrantReply DecideGrant(Bucket& bucket, const GrantRequest& ask);
+  GrantReply DecideGrant(Bucket& bucket, const GrantRequest& message);
 
   const HostId self_;
   const Incarnation incarnation_;
   const ClaimOptions options_;
   HostView view_;
+  // The hosts that this host counts; see CountedFleet.
   CountedFleet counted_;
   // The hosts that may be replicas, this one included.
   std::vector<PeerView> candidates_;
--- a/fleet/crash_exchange.cc
+++ b/fleet/crash_exchange.cc
@@ -56,14 +56,14 @@
     const CrashUpdates& updates) const {
   CrashUpdates selected;
   std::set<RequestFingerprint> requests;
-  for (const CrashObservation& it : updates.sightings) {
+  for (const CrashObservation& it : updates.observations) {
     requests.insert(it.request);
   }
   for (const RequestFingerprint request : requests) {
     const std::vector<CrashObservation> all =
         quarantine_.ObservationsOf(request);
     if (all.size() >= kMinCrashesForFollowers) {
-      std::ranges::copy(all, std::back_inserter(selected.sightings));
+      std::ranges::copy(all, std::back_inserter(selected.observations));
     }
   }
   for (const CrashUpdates::Cleared& it : updates.cleared) {
--- a/fleet/crash_messages.cc
+++ b/fleet/crash_messages.cc
@@ -18,28 +18,29 @@
 
 }  // namespace
 
-Json CrashReport::Sighting::ToJson() const {
+Json CrashReport::Observation::ToJson() const {
   return Json{{"request", request.value},
               {"endpoint", endpoint.id.text()},
               {"started_at_ms", endpoint.started_at.time_since_epoch().count()},
               {"age_us", ToMicroseconds(age)}};
 }
 
-leaf::result<CrashReport::Sighting> CrashReport::Sighting::Parse(
+leaf::result<CrashReport::Observation> CrashReport::Observation::Parse(
     const Json& json,
     const std::string& path) {
-  Sighting sighting;
+  Observation observation;
   std::string endpoint;
   std::int64_t started_at_ms = 0;
   JsonReader reader(json, path);
-  reader.Read("request", sighting.request.value);
+  reader.Read("request", observation.request.value);
   reader.Read("endpoint", endpoint);
   reader.Read("started_at_ms", started_at_ms, 0, kLatestStartMs);
-  ReadTime(reader, "age_us", sighting.age);
+  ReadTime(reader, "age_us", observation.age);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
-  sighting.endpoint = {EndpointId(std::move(endpoint)),
-                       EndpointStart(std::chrono::milliseconds(started_at_ms))};
-  return sighting;
+  observation.endpoint = {
+      EndpointId(std::move(endpoint)),
+      EndpointStart(std::chrono::milliseconds(started_at_ms))};
+  return observation;
 }
 
 Json CrashReport::Cleared::ToJson() const {
@@ -58,7 +59,7 @@
 }
 
 Json CrashReport::ToJson() const {
-  return Json{{"sightings", ListToJson(sightings)},
+  return Json{{"sightings", ListToJson(observations)},
               {"cleared", ListToJson(cleared)}};
 }
 
@@ -66,7 +67,7 @@
                                              const std::string& path) {
   CrashReport report;
   JsonReader reader(json, path);
-  ReadList(reader, "sightings", report.sightings);
+  ReadList(reader, "sightings", report.observations);
   ReadList(reader, "cleared", report.cleared);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   return report;
--- a/fleet/crash_messages.h
+++ b/fleet/crash_messages.h
@@ -17,15 +17,15 @@
   static constexpr std::string_view kKind = "crash-report";
 
   // A request that was running at an endpoint when it crashed.
-  struct Sighting {
+  struct Observation {
     RequestFingerprint request;
     EndpointProcess endpoint;
     Duration age{};
 
     Json ToJson() const;
-    static leaf::result<Sighting> Parse(const Json& json,
-                                        const std::string& path);
-    bool operator==(const Sighting&) const = default;
+    static leaf::result<Observation> Parse(const Json& json,
+                                           const std::string& path);
+    bool operator==(const Observation&) const = default;
   };
   // A request that an endpoint has answered.
   struct Cleared {
@@ -38,10 +38,10 @@
     bool operator==(const Cleared&) const = default;
   };
 
-  std::vector<Sighting> sightings;
+  std::vector<Observation> observations;
   std::vector<Cleared> cleared;
 
-  bool empty() const { return sightings.empty() && cleared.empty(); }
+  bool empty() const { return observations.empty() && cleared.empty(); }
 
   Json ToJson() const;
   static leaf::result<CrashReport> Parse(const Json& json,
--- a/fleet/document_store.h
+++ b/fleet/document_store.h
@@ -116,8 +116,10 @@
                    const Document& document,
                    const DocumentVersion& version,
                    TimePoint now);
+  // Sends the digest to a few peers that are behind.
   void Announce(Outbox& out);
   void SendDigest(const HostId& to, bool request_answer, Outbox& out);
+  // Requests newer documents of the sender and tells it if it is behind.
   void OnDigest(const HostId& from,
                 const DocumentDigest& digest,
                 TimePoint now,
--- a/fleet/drained_zones.h
+++ b/fleet/drained_zones.h
@@ -19,11 +19,12 @@
   // other keys are written by mistake.
   static constexpr std::size_t kMaxZones = 1024;
 
-  // Take and Retain return whether the set of drained zones has changed.
-  // Applies the state of one zone at a revision.
+  // Applies the state of one zone at a revision. Returns whether the set of
+  // drained zones has changed.
   bool Take(const ZoneDrain& drain, Revision revision);
   // Applies a complete read at revision `current`, which contains the drains of
-  // `present`. Other drains up to `current` have ended.
+  // `present`. Other drains up to `current` have ended. Returns whether the set
+  // of drained zones has changed.
   bool Retain(const std::set<ZoneId>& present, Revision current);
 
   // Returns the drained zones.
--- a/fleet/fleet_claim_gate.h
+++ b/fleet/fleet_claim_gate.h
@@ -44,7 +44,9 @@
   void Tick(TimePoint now, Outbox& out);
 
   // Returns whether no claim would be lost if this process ended: every
-  // settlement is acknowledged, and every bucket is stored by other hosts.
+  // settlement is acknowledged, and no bucket is stored here any more. A
+  // standalone daemon has no host to hand its buckets over to, so for it only
+  // the settlements count.
   bool IsSafeToStop() const;
   ClaimStatus Status() const;
 
--- a/fleet/fleet_limit_gate.cc
+++ b/fleet/fleet_limit_gate.cc
@@ -10,7 +10,7 @@
                                LimitOptions options,
                                ReadClock read_clock)
     : read_clock_(std::move(read_clock)),
-      ledger_(std::move(self), incarnation, options) {}
+      allocator_(std::move(self), incarnation, options) {}
 
 // Reads the clock again under the lock, as the thread may have been suspended
 // since its caller read the clock. With the old time, an expired lease would
@@ -22,12 +22,12 @@
 LimitGate::Verdict FleetLimitGate::Enter(const Contract& contract,
                                          TimePoint now) {
   const std::lock_guard lock(mutex_);
-  return ledger_.Enter(contract, Now(now));
+  return allocator_.Enter(contract, Now(now));
 }
 
 void FleetLimitGate::Leave(const CustomerId& customer, TimePoint now) {
   const std::lock_guard lock(mutex_);
-  ledger_.Leave(customer, Now(now));
+  allocator_.Leave(customer, Now(now));
 }
 
 void FleetLimitGate::OnView(const HostView& view, TimePoint now, Outbox& out) {
@@ -38,7 +38,7 @@
     seen.peers.clear();
     seen.unlisted.clear();
   }
-  ledger_.OnView(seen, Now(now), out);
+  allocator_.OnView(seen, Now(now), out);
 }
 
 void FleetLimitGate::OnMessage(const Sender& sender,
@@ -46,17 +46,17 @@
                                TimePoint now,
                                Outbox& out) {
   const std::lock_guard lock(mutex_);
-  ledger_.OnMessage(sender, message, Now(now), out);
+  allocator_.OnMessage(sender, message, Now(now), out);
 }
 
 void FleetLimitGate::Tick(TimePoint now, Outbox& out) {
   const std::lock_guard lock(mutex_);
-  ledger_.Tick(Now(now), out);
+  allocator_.Tick(Now(now), out);
 }
 
 void FleetLimitGate::SetContracts(const std::vector<Contract>& contracts) {
   const std::lock_guard lock(mutex_);
-  ledger_.SetContracts(contracts, read_clock_());
+  allocator_.SetContracts(contracts, read_clock_());
 }
 
 void FleetLimitGate::SetStandalone() {
@@ -67,22 +67,22 @@
 
 void FleetLimitGate::ConfirmGone(const HostId& host, Outbox& out) {
   const std::lock_guard lock(mutex_);
-  ledger_.ConfirmGone(host, read_clock_(), out);
+  allocator_.ConfirmGone(host, read_clock_(), out);
 }
 
 void FleetLimitGate::ReturnLeases(Outbox& out) {
   const std::lock_guard lock(mutex_);
-  ledger_.ReturnLeases(read_clock_(), out);
+  allocator_.ReturnLeases(read_clock_(), out);
 }
 
 CountedFleet FleetLimitGate::Counted() const {
   const std::lock_guard lock(mutex_);
-  return ledger_.Counted();
+  return allocator_.Counted();
 }
 
 LimitAllocatorStatus FleetLimitGate::Status() const {
   const std::lock_guard lock(mutex_);
-  return ledger_.Status(read_clock_());
+  return allocator_.Status(read_clock_());
 }
 
 }  // namespace damasktack
--- a/fleet/fleet_limit_gate.h
+++ b/fleet/fleet_limit_gate.h
@@ -50,7 +50,7 @@
   const ReadClock read_clock_;
   bool standalone_ = false;
   mutable std::mutex mutex_;
-  LimitAllocator ledger_;
+  LimitAllocator allocator_;
 };
 
 static_assert(FleetModule<FleetLimitGate>);
--- a/fleet/limit_allocator.cc
+++ b/fleet/limit_allocator.cc
@@ -86,7 +86,7 @@
 }
 
 void LimitAllocator::On(const Sender& sender,
-                        const CountRequest& /*ask*/,
+                        const CountRequest& /*request*/,
                         TimePoint now,
                         Outbox& out) {
   // Leases granted by an earlier process of the sender are dropped: the new
@@ -130,11 +130,11 @@
 }
 
 void LimitAllocator::On(const Sender& sender,
-                        const LendRequest& ask,
+                        const LendRequest& request,
                         TimePoint now,
                         Outbox& out) {
   LendGrant answer;
-  for (const LendRequestItem& it : ask.items) {
+  for (const LendRequestItem& it : request.items) {
     const auto found = accounts_.find(it.customer);
     std::int64_t amount = 0;
     if (found != accounts_.end() && !returning_leases_) {
--- a/fleet/limit_allocator.h
+++ b/fleet/limit_allocator.h
@@ -87,7 +87,7 @@
   };
 
   void On(const Sender& sender,
-          const CountRequest& ask,
+          const CountRequest& request,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
@@ -103,7 +103,7 @@
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
-          const LendRequest& ask,
+          const LendRequest& request,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
--- a/fleet/limit_borrower.cc
+++ b/fleet/limit_borrower.cc
@@ -61,15 +61,15 @@
   };
   const auto first = std::find_if(pending_.begin(), pending_.end(), is_first);
   if (first != pending_.end() && item.renewal == 0) {
-    const PendingRequest asked = *first;
+    const PendingRequest pending = *first;
     pending_.erase(first);
-    if (item.amount < asked.request.amount) {
+    if (item.amount < pending.request.amount) {
       RecordRefusal(lender, item.amount > 0, now);
     }
     if (item.amount > 0) {
       leases_.push_back({lender, incarnation, item.lease, 0, item.amount,
                          item.lasts, item.longest_call,
-                         asked.requested_at + item.lasts, std::nullopt, now});
+                         pending.requested_at + item.lasts, std::nullopt, now});
     }
     return;
   }
@@ -102,9 +102,9 @@
   const auto it =
       std::find_if(refusals_.begin(), refusals_.end(),
                    [&](const Refusal& one) { return one.lender == lender; });
-  const bool again = it != refusals_.end() && !lent_some;
-  const Duration wait = again ? std::min(it->wait * 2, kMaxRefusalWait)
-                              : options_.resend_interval;
+  const bool is_repeated = it != refusals_.end() && !lent_some;
+  const Duration wait = is_repeated ? std::min(it->wait * 2, kMaxRefusalWait)
+                                    : options_.resend_interval;
   if (it != refusals_.end()) {
     refusals_.erase(it);
   }
@@ -121,8 +121,8 @@
     }
   }
   for (Lease& it : leases_) {
-    const bool half_over = it.until - it.duration / 2 <= now;
-    if (!half_over || it.sent_at + options_.resend_interval > now) {
+    const bool renewal_due = it.until - it.duration / 2 <= now;
+    if (!renewal_due || it.sent_at + options_.resend_interval > now) {
       continue;
     }
     if (!it.renewal_requested_at) {
--- a/fleet/limit_borrower.h
+++ b/fleet/limit_borrower.h
@@ -42,6 +42,7 @@
                  std::uint64_t lease,
                  std::int64_t amount,
                  TimePoint now);
+  // Handles the answer to a request or a renewal.
   void OnGrant(const HostId& lender,
                Incarnation incarnation,
                const LendGrantItem& item,
@@ -54,6 +55,7 @@
   void Expire(TimePoint now);
   // Ends the largest lease of at most `amount`. False if there is none.
   bool ReturnOne(std::int64_t amount);
+  // Drops all requests and ends all leases.
   void ReturnAll();
   // Drops leases granted by other processes of `lender` than `incarnation`.
   void DropOtherIncarnations(const HostId& lender, Incarnation incarnation);
@@ -93,7 +95,9 @@
   };
 
   void RecordRefusal(const HostId& lender, bool lent_some, TimePoint now);
-  void End(const Lease& debt) { returns_.push_back({debt.lender, debt.lease}); }
+  void End(const Lease& lease) {
+    returns_.push_back({lease.lender, lease.lease});
+  }
 
   LimitOptions options_;
   std::vector<PendingRequest> pending_;
--- a/fleet/limit_hosts.cc
+++ b/fleet/limit_hosts.cc
@@ -37,17 +37,18 @@
 
 LimitHosts::Entry* LimitHosts::FindOrAdd(const CountedHost& process,
                                          TimePoint now) {
-  const bool unheard = process.incarnation == 0;
-  const bool confirmed_down = unheard && confirmed_down_.contains(process.host);
+  const bool has_no_incarnation = process.incarnation == 0;
+  const bool confirmed_down =
+      has_no_incarnation && confirmed_down_.contains(process.host);
   if (process.host == self_ || confirmed_down || IsGone(process)) {
     return nullptr;
   }
   const auto [it, added] = entries_.try_emplace(process.host);
   Entry& entry = it->second;
   if (added) {
-    entry.heard_at = now;
+    entry.last_contact_at = now;
   }
-  if (unheard || process.incarnation == entry.incarnation) {
+  if (has_no_incarnation || process.incarnation == entry.incarnation) {
     return &entry;
   }
   // A late message of an old process must not replace the new one.
@@ -66,7 +67,7 @@
   list_seen_ = list_seen_ || view.revision > 0;
   for (auto& [host, entry] : entries_) {
     if (entry.reachable || (entry.listed && entry.incarnation == 0)) {
-      entry.heard_at = now;
+      entry.last_contact_at = now;
     }
     entry.listed = false;
     entry.reachable = false;
@@ -86,7 +87,7 @@
     entry->listed = true;
     entry->reachable = it.reachable;
     if (it.reachable) {
-      entry->heard_at = now;
+      entry->last_contact_at = now;
     }
   }
   for (const HostId& it : view.unlisted) {
@@ -102,7 +103,7 @@
   if (entry == nullptr) {
     return false;
   }
-  entry->heard_at = now;
+  entry->last_contact_at = now;
   // The view may be older than this message.
   entry->reachable = true;
   return true;
@@ -125,9 +126,9 @@
   }
   for (const CountedHost& process : ack.counted) {
     // Second-hand information may be older than a message received directly.
-    const bool heard = IncarnationOf(process.host) != 0;
-    if (!heard) {
-      FindOrAdd(process, acker.heard_at);
+    const bool has_incarnation = IncarnationOf(process.host) != 0;
+    if (!has_incarnation) {
+      FindOrAdd(process, acker.last_contact_at);
     }
     if (ack.owner) {
       acker.owner_counts->insert(process.host);
@@ -138,9 +139,9 @@
 
 bool LimitHosts::OnGone(const CountedHost& process, TimePoint now) {
   if (process.incarnation == 0) {
-    const auto unheard = entries_.find(process.host);
-    if (unheard != entries_.end() && unheard->second.incarnation == 0) {
-      entries_.erase(unheard);
+    const auto known = entries_.find(process.host);
+    if (known != entries_.end() && known->second.incarnation == 0) {
+      entries_.erase(known);
       confirmed_down_.insert(process.host);
       UpdateOwnership();
     }
@@ -173,7 +174,7 @@
   // not come back is down or cut off. One that never sent a message and has
   // been off the list for orphan_timeout is taken as down.
   for (auto& [host, entry] : entries_) {
-    const bool silent = now - entry.heard_at > options_.orphan_timeout;
+    const bool silent = now - entry.last_contact_at > options_.orphan_timeout;
     entry.ack_waived =
         entry.ack_waived || (entry.incarnation == 0 && !entry.listed && silent);
   }
@@ -266,7 +267,7 @@
 std::vector<OrphanHost> LimitHosts::Orphans(TimePoint now) const {
   std::vector<OrphanHost> orphans;
   for (const auto& [host, entry] : entries_) {
-    const Duration silent = now - entry.heard_at;
+    const Duration silent = now - entry.last_contact_at;
     if (!entry.listed && !entry.reachable && !entry.gone_at &&
         silent > options_.orphan_timeout) {
       orphans.push_back({{host, entry.incarnation}, silent});
--- a/fleet/limit_hosts.h
+++ b/fleet/limit_hosts.h
@@ -20,6 +20,7 @@
 // unused until it comes back or an operator confirms that it has ended.
 struct OrphanHost {
   CountedHost process;
+  // Time since its last message.
   Duration silent{};
 };
 
@@ -82,7 +83,7 @@
     std::optional<TimePoint> gone_at;
     // This host may own a share without its acknowledgement.
     bool ack_waived = false;
-    TimePoint heard_at;
+    TimePoint last_contact_at;
     bool listed = false;
     bool reachable = false;
   };
--- a/fleet/request_quarantine.cc
+++ b/fleet/request_quarantine.cc
@@ -12,9 +12,9 @@
 
 namespace {
 
-// Maximum number of sightings in one report, and of updates waiting for
+// Maximum number of observations in one report, and of updates waiting for
 // TakeUpdates.
-constexpr std::size_t kMaxSightings = 1024;
+constexpr std::size_t kMaxObservations = 1024;
 
 Duration AgeOf(TimePoint at, TimePoint now) {
   return std::max<Duration>(now - at, Duration::zero());
@@ -24,8 +24,8 @@
 
 CrashReport MakeCrashReport(const CrashUpdates& updates, TimePoint now) {
   CrashReport report;
-  for (const CrashObservation& it : updates.sightings) {
-    report.sightings.push_back({it.request, it.endpoint, AgeOf(it.at, now)});
+  for (const CrashObservation& it : updates.observations) {
+    report.observations.push_back({it.request, it.endpoint, AgeOf(it.at, now)});
   }
   for (const CrashUpdates::Cleared& it : updates.cleared) {
     report.cleared.push_back({it.request.request, AgeOf(it.request.at, now)});
@@ -34,28 +34,28 @@
 }
 
 RequestQuarantine::RequestQuarantine(CrashTrackerOptions options)
-    : ledger_(options, std::random_device()()) {}
+    : tracker_(options, std::random_device()()) {}
 
 RequestJudgement RequestQuarantine::Judge(RequestFingerprint request,
                                           TimePoint now) {
   const std::lock_guard lock(mutex_);
-  const RequestJudgement judgement = ledger_.Judge(request, now);
+  const RequestJudgement judgement = tracker_.Judge(request, now);
   UpdateHasSuspects();
   refused_ += judgement.suspicion == Suspicion::kQuarantined ? 1 : 0;
   return judgement;
 }
 
-bool RequestQuarantine::OnBroken(const CrashObservation& sighting) {
+bool RequestQuarantine::OnBroken(const CrashObservation& observation) {
   SuspectStep step = SuspectStep::kNone;
   {
     const std::lock_guard lock(mutex_);
-    step = ledger_.Suspect(sighting);
-    if (step == SuspectStep::kCheck && !checks_.Take(sighting.at)) {
-      ledger_.Dismiss(sighting.endpoint);
+    step = tracker_.Suspect(observation);
+    if (step == SuspectStep::kCheck && !checks_.Take(observation.at)) {
+      tracker_.Dismiss(observation.endpoint);
       step = SuspectStep::kNone;
     }
     if (step == SuspectStep::kShare) {
-      RecordUpdate(sighting);
+      RecordUpdate(observation);
     }
     UpdateHasSuspects();
   }
@@ -68,7 +68,7 @@
 void RequestQuarantine::OnEndpointEnded(const EndpointProcess& endpoint) {
   {
     const std::lock_guard lock(mutex_);
-    const std::vector<CrashObservation> confirmed = ledger_.Confirm(endpoint);
+    const std::vector<CrashObservation> confirmed = tracker_.Confirm(endpoint);
     if (confirmed.empty()) {
       return;
     }
@@ -84,7 +84,7 @@
 
 void RequestQuarantine::OnEndpointAlive(const EndpointProcess& endpoint) {
   const std::lock_guard lock(mutex_);
-  ledger_.Dismiss(endpoint);
+  tracker_.Dismiss(endpoint);
   UpdateHasSuspects();
 }
 
@@ -92,12 +92,12 @@
   {
     const std::lock_guard lock(mutex_);
     const ClearedRequest cleared{request, now};
-    const std::size_t crashes = ledger_.Clear(cleared, now);
+    const std::size_t crashes = tracker_.Clear(cleared, now);
     UpdateHasSuspects();
     if (crashes == 0) {
       return;
     }
-    if (updates_.cleared.size() < kMaxSightings) {
+    if (updates_.cleared.size() < kMaxObservations) {
       updates_.cleared.push_back({cleared, crashes});
     }
     spdlog::info("event=request-cleared request={} crashes={}",
@@ -107,20 +107,20 @@
 }
 
 // The size is bounded, as nothing takes the updates on a host without peers.
-void RequestQuarantine::RecordUpdate(const CrashObservation& sighting) {
-  if (updates_.sightings.size() < kMaxSightings) {
-    updates_.sightings.push_back(sighting);
+void RequestQuarantine::RecordUpdate(const CrashObservation& observation) {
+  if (updates_.observations.size() < kMaxObservations) {
+    updates_.observations.push_back(observation);
   }
-  LogIfQuarantined(sighting);
+  LogIfQuarantined(observation);
 }
 
 void RequestQuarantine::LogIfQuarantined(
-    const CrashObservation& sighting) const {
-  if (ledger_.IsCulprit(sighting.request)) {
+    const CrashObservation& observation) const {
+  if (tracker_.IsCulprit(observation.request)) {
     spdlog::warn("event=request-quarantined request={} crashes={} endpoint={}",
-                 ToString(sighting.request),
-                 ledger_.CountCrashes(sighting.request),
-                 sighting.endpoint.id.text());
+                 ToString(observation.request),
+                 tracker_.CountCrashes(observation.request),
+                 observation.endpoint.id.text());
   }
 }
 
@@ -148,16 +148,16 @@
 CrashUpdates RequestQuarantine::Take(const CrashReport& report, TimePoint now) {
   CrashUpdates updates;
   const std::lock_guard lock(mutex_);
-  for (const CrashReport::Sighting& it : report.sightings) {
-    const CrashObservation sighting{it.request, it.endpoint, now - it.age};
-    if (ledger_.Add(sighting, now)) {
-      updates.sightings.push_back(sighting);
-      LogIfQuarantined(sighting);
+  for (const CrashReport::Observation& it : report.observations) {
+    const CrashObservation observation{it.request, it.endpoint, now - it.age};
+    if (tracker_.Add(observation, now)) {
+      updates.observations.push_back(observation);
+      LogIfQuarantined(observation);
     }
   }
   for (const CrashReport::Cleared& it : report.cleared) {
     const ClearedRequest cleared{it.request, now - it.age};
-    const std::size_t crashes = ledger_.Clear(cleared, now);
+    const std::size_t crashes = tracker_.Clear(cleared, now);
     if (crashes > 0) {
       updates.cleared.push_back({cleared, crashes});
     }
@@ -170,13 +170,13 @@
                                         TimePoint now) const {
   const std::lock_guard lock(mutex_);
   CrashUpdates all;
-  for (const RequestFingerprint request : ledger_.Suspects(min_crashes)) {
-    const std::vector<CrashObservation> sightings =
-        ledger_.ObservationsOf(request);
-    if (all.sightings.size() + sightings.size() > kMaxSightings) {
+  for (const RequestFingerprint request : tracker_.Suspects(min_crashes)) {
+    const std::vector<CrashObservation> observations =
+        tracker_.ObservationsOf(request);
+    if (all.observations.size() + observations.size() > kMaxObservations) {
       break;
     }
-    std::ranges::copy(sightings, std::back_inserter(all.sightings));
+    std::ranges::copy(observations, std::back_inserter(all.observations));
   }
   return MakeCrashReport(all, now);
 }
@@ -184,7 +184,7 @@
 std::vector<CrashObservation> RequestQuarantine::ObservationsOf(
     RequestFingerprint request) const {
   const std::lock_guard lock(mutex_);
-  return ledger_.ObservationsOf(request);
+  return tracker_.ObservationsOf(request);
 }
 
 std::string RequestQuarantine::RenderMetrics() const {
@@ -195,7 +195,7 @@
       << "# TYPE damasktack_quarantine_refusals_total counter\n"
       << "damasktack_quarantine_refusals_total " << refused_ << "\n"
       << "# TYPE damasktack_crashes_remembered gauge\n"
-      << "damasktack_crashes_remembered " << ledger_.crashes() << "\n";
+      << "damasktack_crashes_remembered " << tracker_.crashes() << "\n";
   return out.str();
 }
 
--- a/fleet/request_quarantine.h
+++ b/fleet/request_quarantine.h
@@ -22,10 +22,10 @@
     std::size_t crashes = 0;
   };
 
-  std::vector<CrashObservation> sightings;
+  std::vector<CrashObservation> observations;
   std::vector<Cleared> cleared;
 
-  bool empty() const { return sightings.empty() && cleared.empty(); }
+  bool empty() const { return observations.empty() && cleared.empty(); }
 };
 
 CrashReport MakeCrashReport(const CrashUpdates& updates, TimePoint now);
@@ -43,12 +43,13 @@
 
   // Returns whether any request is suspected. If not, Judge need not be called.
   bool HasSuspects() const { return has_suspects_; }
+  // Returns whether a request is suspected or quarantined.
   RequestJudgement Judge(RequestFingerprint request, TimePoint now);
 
   // Records that the connection of a call to an endpoint broke. If true, the
   // caller must check whether the endpoint process has ended, and report the
   // result by OnEndpointEnded or OnEndpointAlive.
-  bool OnBroken(const CrashObservation& sighting);
+  bool OnBroken(const CrashObservation& observation);
   void OnEndpointEnded(const EndpointProcess& endpoint);
   void OnEndpointAlive(const EndpointProcess& endpoint);
   // Clears a request that an endpoint has answered.
@@ -73,14 +74,15 @@
 
  private:
   // The caller must hold the mutex for the following three.
-  void RecordUpdate(const CrashObservation& sighting);
-  void LogIfQuarantined(const CrashObservation& sighting) const;
-  void UpdateHasSuspects() { has_suspects_ = !ledger_.empty(); }
+  void RecordUpdate(const CrashObservation& observation);
+  void LogIfQuarantined(const CrashObservation& observation) const;
+  void UpdateHasSuspects() { has_suspects_ = !tracker_.empty(); }
 
+  // Calls the function set by SetOnUpdates. The caller must not hold the mutex.
   void NotifyUpdates();
 
   mutable std::mutex mutex_;
-  CrashTracker ledger_;
+  CrashTracker tracker_;
   TokenBucket checks_{kChecksPerSecond, kCheckBurst};
   CrashUpdates updates_;
   std::function<void()> on_updates_;
--- a/tests/fleet/test_crash_exchange.cc
+++ b/tests/fleet/test_crash_exchange.cc
@@ -112,7 +112,7 @@
   const auto sent = out.Take();
   REQUIRE(sent.size() == 1);
   CHECK(sent[0].to == HostId("b"));
-  CHECK(std::get<CrashReport>(sent[0].message).sightings.size() == 2);
+  CHECK(std::get<CrashReport>(sent[0].message).observations.size() == 2);
 }
 
 TEST_CASE("a crash report is decoded as it was encoded") {
@@ -140,7 +140,7 @@
     quarantine.OnEndpointEnded(Endpoint(n));
   }
   CHECK(checks <= static_cast<int>(RequestQuarantine::kCheckBurst));
-  CHECK(quarantine.TakeUpdates().sightings.size() <=
+  CHECK(quarantine.TakeUpdates().observations.size() <=
         static_cast<std::size_t>(RequestQuarantine::kCheckBurst));
 }
 
