--- a/fleet/crash_exchange.cc
+++ b/fleet/crash_exchange.cc
@@ -10,28 +10,28 @@
 namespace {
 
 void SendTo(std::vector<HostId> hosts,
-            const CrashUpdates& news,
+            const CrashUpdates& updates,
             TimePoint now,
             Outbox& out) {
-  if (!hosts.empty() && !news.empty()) {
-    out.SendToAll(std::move(hosts), MakeCrashReport(news, now));
+  if (!hosts.empty() && !updates.empty()) {
+    out.SendToAll(std::move(hosts), MakeCrashReport(updates, now));
   }
 }
 
 }  // namespace
 
 void CrashExchange::OnPeer(const HostId& host,
-                           CrashPeerRole listener,
+                           CrashPeerRole role,
                            TimePoint now,
                            Outbox& out) {
   const auto known = peers_.find(host);
-  if (known != peers_.end() && known->second == listener) {
+  if (known != peers_.end() && known->second == role) {
     return;
   }
-  peers_[host] = listener;
-  const std::size_t least =
-      listener == CrashPeerRole::kFollower ? kMinCrashesForFollowers : 1;
-  CrashReport report = quarantine_.Evidence(least, now);
+  peers_[host] = role;
+  const std::size_t min_crashes =
+      role == CrashPeerRole::kFollower ? kMinCrashesForFollowers : 1;
+  CrashReport report = quarantine_.Evidence(min_crashes, now);
   if (!report.empty()) {
     out.Send(host, std::move(report));
   }
@@ -41,64 +41,66 @@
   peers_.erase(host);
 }
 
-std::vector<HostId> CrashExchange::Listeners(CrashPeerRole listener,
-                                             const HostId& but) const {
+std::vector<HostId> CrashExchange::PeersWithRole(CrashPeerRole role,
+                                                 const HostId& excluded) const {
   std::vector<HostId> hosts;
   for (const auto& [host, it] : peers_) {
-    if (it == listener && host != but) {
+    if (it == role && host != excluded) {
       hosts.push_back(host);
     }
   }
   return hosts;
 }
 
-CrashUpdates CrashExchange::ForFollowers(const CrashUpdates& news) const {
-  CrashUpdates told;
+CrashUpdates CrashExchange::SelectForFollowers(
+    const CrashUpdates& updates) const {
+  CrashUpdates selected;
   std::set<RequestFingerprint> requests;
-  for (const CrashObservation& it : news.sightings) {
+  for (const CrashObservation& it : updates.observations) {
     requests.insert(it.request);
   }
   for (const RequestFingerprint request : requests) {
     const std::vector<CrashObservation> all =
         quarantine_.ObservationsOf(request);
     if (all.size() >= kMinCrashesForFollowers) {
-      std::ranges::copy(all, std::back_inserter(told.sightings));
+      std::ranges::copy(all, std::back_inserter(selected.observations));
     }
   }
-  for (const CrashUpdates::Cleared& it : news.cleared) {
+  for (const CrashUpdates::Cleared& it : updates.cleared) {
     if (it.crashes >= kMinCrashesForFollowers) {
-      told.cleared.push_back(it);
+      selected.cleared.push_back(it);
     }
   }
-  return told;
+  return selected;
 }
 
-void CrashExchange::Pass(const CrashUpdates& news,
-                         const HostId& from,
-                         TimePoint now,
-                         Outbox& out) const {
-  SendTo(Listeners(CrashPeerRole::kSeed, from), news, now, out);
-  // A follower that sent the second sighting of a request lacks the first.
-  SendTo(Listeners(CrashPeerRole::kFollower, HostId()), ForFollowers(news), now,
-         out);
+void CrashExchange::Relay(const CrashUpdates& updates,
+                          const HostId& from,
+                          TimePoint now,
+                          Outbox& out) const {
+  SendTo(PeersWithRole(CrashPeerRole::kSeed, from), updates, now, out);
+  // The sender is included: a follower that reported the second crash of a
+  // request has not got the report on the first.
+  SendTo(PeersWithRole(CrashPeerRole::kFollower, HostId()),
+         SelectForFollowers(updates), now, out);
 }
 
 void CrashExchange::Share(TimePoint now, Outbox& out) {
-  const CrashUpdates news = quarantine_.TakeUpdates();
-  if (news.empty()) {
+  const CrashUpdates updates = quarantine_.TakeUpdates();
+  if (updates.empty()) {
     return;
   }
-  SendTo(Listeners(CrashPeerRole::kPeer, HostId()), news, now, out);
-  Pass(news, HostId(), now, out);
+  SendTo(PeersWithRole(CrashPeerRole::kPeer, HostId()), updates, now, out);
+  Relay(updates, HostId(), now, out);
 }
 
 void CrashExchange::OnReport(const HostId& from,
                              const CrashReport& report,
                              TimePoint now,
                              Outbox& out) {
-  const CrashUpdates news = quarantine_.Take(report, now);
-  if (!news.empty()) {
-    Pass(news, from, now, out);
+  const CrashUpdates updates = quarantine_.Take(report, now);
+  if (!updates.empty()) {
+    Relay(updates, from, now, out);
   }
 }
 
--- a/fleet/crash_messages.h
+++ b/fleet/crash_messages.h
@@ -10,21 +10,24 @@
 
 namespace damasktack {
 
-// Which requests were at endpoints when these ended, and which of them have
-// been answered since. Times are told as ages: hosts' clocks differ.
+// Reports requests that were running at endpoints when these crashed, and
+// requests that were cleared because an endpoint answered them. Times are sent
+// as ages, as the clocks of hosts differ.
 struct CrashReport {
   static constexpr std::string_view kKind = "crash-report";
 
-  struct Sighting {
+  // A request that was running at an endpoint when it crashed.
+  struct Observation {
     RequestFingerprint request;
     EndpointProcess endpoint;
     Duration age{};
 
     Json ToJson() const;
-    static leaf::result<Sighting> Parse(const Json& json,
-                                        const std::string& path);
-    bool operator==(const Sighting&) const = default;
+    static leaf::result<Observation> Parse(const Json& json,
+                                           const std::string& path);
+    bool operator==(const Observation&) const = default;
   };
+  // A request that an endpoint has answered.
   struct Cleared {
     RequestFingerprint request;
     Duration age{};
@@ -35,10 +38,10 @@
     bool operator==(const Cleared&) const = default;
   };
 
-  std::vector<Sighting> sightings;
+  std::vector<Observation> observations;
   std::vector<Cleared> cleared;
 
-  bool empty() const { return sightings.empty() && cleared.empty(); }
+  bool empty() const { return observations.empty() && cleared.empty(); }
 
   Json ToJson() const;
   static leaf::result<CrashReport> Parse(const Json& json,
--- a/fleet/drain_observations.h
+++ b/fleet/drain_observations.h
@@ -9,20 +9,25 @@
 
 namespace damasktack {
 
-// Passes on which endpoints were seen draining, so that a host that has not
-// called one lately stops too before the list says so. One hop: a host passes
-// on only what an endpoint told it itself. Pure.
+// Tells peers which endpoints have announced that they are draining, so that a
+// host that has not called such an endpoint lately also stops sending to it
+// before the endpoint list says so. A host sends only the announcements made to
+// itself, and peers do not forward them. Does no I/O.
 class DrainObservations {
  public:
-  // The same sighting goes out at most this often; a repeat makes up for a
-  // lost message while the endpoint still says so.
-  static constexpr Duration kRepeat = std::chrono::seconds(1);
-  // Bounds on what is remembered and on what waits for TakeReceived.
-  static constexpr std::size_t kMost = 4096;
-
-  // An endpoint has told this host that it drains.
-  void OnObserved(const DrainObservation& sighting, TimePoint now, Outbox& out);
-  // What peers have passed on since the last call.
+  // Minimum interval between two messages on the same endpoint. Messages are
+  // repeated while the endpoint still announces the drain, in case one is lost.
+  static constexpr Duration kRepeatInterval = std::chrono::seconds(1);
+  // Maximum number of observations sent that are remembered, and of those
+  // received that wait for TakeReceived.
+  static constexpr std::size_t kMaxObservations = 4096;
+
+  // Records that an endpoint has announced to this host that it is draining,
+  // and tells the peers.
+  void OnObserved(const DrainObservation& observation,
+                  TimePoint now,
+                  Outbox& out);
+  // Returns and clears the observations received from peers.
   std::set<DrainObservation> TakeReceived();
 
   void OnView(const HostView& view, TimePoint now, Outbox& out);
@@ -34,8 +39,9 @@
 
  private:
   std::vector<HostId> peers_;
+  // Observations sent within the repeat interval, with the time of sending.
   std::map<DrainObservation, TimePoint> sent_;
-  std::set<DrainObservation> heard_;
+  std::set<DrainObservation> received_;
 };
 
 }  // namespace damasktack
--- a/fleet/fleet_limit_gate.cc
+++ b/fleet/fleet_limit_gate.cc
@@ -10,35 +10,35 @@
                                LimitOptions options,
                                ReadClock read_clock)
     : read_clock_(std::move(read_clock)),
-      ledger_(std::move(self), incarnation, options) {}
+      allocator_(std::move(self), incarnation, options) {}
 
-// A thread may have been stopped since its caller read the clock. A lease that
-// ended meanwhile would look live, and a loan would be counted from before the
-// borrower asked; so the clock is read again under the lock.
-TimePoint FleetLimitGate::Now(TimePoint told) const {
-  return std::max(told, read_clock_());
+// Reads the clock again under the lock, as the thread may have been suspended
+// since its caller read the clock. With the old time, an expired lease would
+// look live, and a loan would run from before the borrower's request.
+TimePoint FleetLimitGate::Now(TimePoint caller_time) const {
+  return std::max(caller_time, read_clock_());
 }
 
 LimitGate::Verdict FleetLimitGate::Enter(const Contract& contract,
                                          TimePoint now) {
   const std::lock_guard lock(mutex_);
-  return ledger_.Enter(contract, Now(now));
+  return allocator_.Enter(contract, Now(now));
 }
 
 void FleetLimitGate::Leave(const CustomerId& customer, TimePoint now) {
   const std::lock_guard lock(mutex_);
-  ledger_.Leave(customer, Now(now));
+  allocator_.Leave(customer, Now(now));
 }
 
 void FleetLimitGate::OnView(const HostView& view, TimePoint now, Outbox& out) {
   const std::lock_guard lock(mutex_);
   HostView seen = view;
-  if (alone_) {
+  if (standalone_) {
     seen.revision = std::max<Revision>(seen.revision, 1);
     seen.peers.clear();
     seen.unlisted.clear();
   }
-  ledger_.OnView(seen, Now(now), out);
+  allocator_.OnView(seen, Now(now), out);
 }
 
 void FleetLimitGate::OnMessage(const Sender& sender,
@@ -46,43 +46,43 @@
                                TimePoint now,
                                Outbox& out) {
   const std::lock_guard lock(mutex_);
-  ledger_.OnMessage(sender, message, Now(now), out);
+  allocator_.OnMessage(sender, message, Now(now), out);
 }
 
 void FleetLimitGate::Tick(TimePoint now, Outbox& out) {
   const std::lock_guard lock(mutex_);
-  ledger_.Tick(Now(now), out);
+  allocator_.Tick(Now(now), out);
 }
 
 void FleetLimitGate::SetContracts(const std::vector<Contract>& contracts) {
   const std::lock_guard lock(mutex_);
-  ledger_.SetContracts(contracts, read_clock_());
+  allocator_.SetContracts(contracts, read_clock_());
 }
 
 void FleetLimitGate::SetStandalone() {
-  alone_ = true;
+  standalone_ = true;
   Outbox nobody;
   OnView({}, read_clock_(), nobody);
 }
 
 void FleetLimitGate::ConfirmGone(const HostId& host, Outbox& out) {
   const std::lock_guard lock(mutex_);
-  ledger_.ConfirmGone(host, read_clock_(), out);
+  allocator_.ConfirmGone(host, read_clock_(), out);
 }
 
 void FleetLimitGate::ReturnLeases(Outbox& out) {
   const std::lock_guard lock(mutex_);
-  ledger_.ReturnLeases(read_clock_(), out);
+  allocator_.ReturnLeases(read_clock_(), out);
 }
 
 CountedFleet FleetLimitGate::Counted() const {
   const std::lock_guard lock(mutex_);
-  return ledger_.Counted();
+  return allocator_.Counted();
 }
 
 LimitAllocatorStatus FleetLimitGate::Status() const {
   const std::lock_guard lock(mutex_);
-  return ledger_.Status(read_clock_());
+  return allocator_.Status(read_clock_());
 }
 
 }  // namespace damasktack
--- a/fleet/request_quarantine.cc
+++ b/fleet/request_quarantine.cc
@@ -12,8 +12,9 @@
 
 namespace {
 
-// Sightings in one report, and news that wait to be taken.
-constexpr std::size_t kMostSightings = 1024;
+// Maximum number of observations in one report, and of updates waiting for
+// TakeUpdates.
+constexpr std::size_t kMaxObservations = 1024;
 
 Duration AgeOf(TimePoint at, TimePoint now) {
   return std::max<Duration>(now - at, Duration::zero());
@@ -21,40 +22,40 @@
 
 }  // namespace
 
-CrashReport MakeCrashReport(const CrashUpdates& news, TimePoint now) {
+CrashReport MakeCrashReport(const CrashUpdates& updates, TimePoint now) {
   CrashReport report;
-  for (const CrashObservation& it : news.sightings) {
-    report.sightings.push_back({it.request, it.endpoint, AgeOf(it.at, now)});
+  for (const CrashObservation& it : updates.observations) {
+    report.observations.push_back({it.request, it.endpoint, AgeOf(it.at, now)});
   }
-  for (const CrashUpdates::Cleared& it : news.cleared) {
+  for (const CrashUpdates::Cleared& it : updates.cleared) {
     report.cleared.push_back({it.request.request, AgeOf(it.request.at, now)});
   }
   return report;
 }
 
 RequestQuarantine::RequestQuarantine(CrashTrackerOptions options)
-    : ledger_(options, std::random_device()()) {}
+    : tracker_(options, std::random_device()()) {}
 
 RequestJudgement RequestQuarantine::Judge(RequestFingerprint request,
                                           TimePoint now) {
   const std::lock_guard lock(mutex_);
-  const RequestJudgement judgement = ledger_.Judge(request, now);
+  const RequestJudgement judgement = tracker_.Judge(request, now);
   UpdateHasSuspects();
   refused_ += judgement.suspicion == Suspicion::kQuarantined ? 1 : 0;
   return judgement;
 }
 
-bool RequestQuarantine::OnBroken(const CrashObservation& sighting) {
+bool RequestQuarantine::OnBroken(const CrashObservation& observation) {
   SuspectStep step = SuspectStep::kNone;
   {
     const std::lock_guard lock(mutex_);
-    step = ledger_.Suspect(sighting);
-    if (step == SuspectStep::kCheck && !checks_.Take(sighting.at)) {
-      ledger_.Dismiss(sighting.endpoint);
+    step = tracker_.Suspect(observation);
+    if (step == SuspectStep::kCheck && !checks_.Take(observation.at)) {
+      tracker_.Dismiss(observation.endpoint);
       step = SuspectStep::kNone;
     }
     if (step == SuspectStep::kShare) {
-      RecordUpdate(sighting);
+      RecordUpdate(observation);
     }
     UpdateHasSuspects();
   }
@@ -67,7 +68,7 @@
 void RequestQuarantine::OnEndpointEnded(const EndpointProcess& endpoint) {
   {
     const std::lock_guard lock(mutex_);
-    const std::vector<CrashObservation> confirmed = ledger_.Confirm(endpoint);
+    const std::vector<CrashObservation> confirmed = tracker_.Confirm(endpoint);
     if (confirmed.empty()) {
       return;
     }
@@ -83,7 +84,7 @@
 
 void RequestQuarantine::OnEndpointAlive(const EndpointProcess& endpoint) {
   const std::lock_guard lock(mutex_);
-  ledger_.Dismiss(endpoint);
+  tracker_.Dismiss(endpoint);
   UpdateHasSuspects();
 }
 
@@ -91,13 +92,13 @@
   {
     const std::lock_guard lock(mutex_);
     const ClearedRequest cleared{request, now};
-    const std::size_t crashes = ledger_.Clear(cleared, now);
+    const std::size_t crashes = tracker_.Clear(cleared, now);
     UpdateHasSuspects();
     if (crashes == 0) {
       return;
     }
-    if (news_.cleared.size() < kMostSightings) {
-      news_.cleared.push_back({cleared, crashes});
+    if (updates_.cleared.size() < kMaxObservations) {
+      updates_.cleared.push_back({cleared, crashes});
     }
     spdlog::info("event=request-cleared request={} crashes={}",
                  ToString(request), crashes);
@@ -105,77 +106,77 @@
   NotifyUpdates();
 }
 
-// A host without peers has nobody who takes the news.
-void RequestQuarantine::RecordUpdate(const CrashObservation& sighting) {
-  if (news_.sightings.size() < kMostSightings) {
-    news_.sightings.push_back(sighting);
+// The size is bounded, as nothing takes the updates on a host without peers.
+void RequestQuarantine::RecordUpdate(const CrashObservation& observation) {
+  if (updates_.observations.size() < kMaxObservations) {
+    updates_.observations.push_back(observation);
   }
-  LogWhereQuarantined(sighting);
+  LogIfQuarantined(observation);
 }
 
-void RequestQuarantine::LogWhereQuarantined(
-    const CrashObservation& sighting) const {
-  if (ledger_.IsCulprit(sighting.request)) {
+void RequestQuarantine::LogIfQuarantined(
+    const CrashObservation& observation) const {
+  if (tracker_.IsCulprit(observation.request)) {
     spdlog::warn("event=request-quarantined request={} crashes={} endpoint={}",
-                 ToString(sighting.request),
-                 ledger_.CountCrashes(sighting.request),
-                 sighting.endpoint.id.text());
+                 ToString(observation.request),
+                 tracker_.CountCrashes(observation.request),
+                 observation.endpoint.id.text());
   }
 }
 
-void RequestQuarantine::SetOnUpdates(std::function<void()> on_news) {
+void RequestQuarantine::SetOnUpdates(std::function<void()> on_updates) {
   const std::lock_guard lock(mutex_);
-  on_news_ = std::move(on_news);
+  on_updates_ = std::move(on_updates);
 }
 
 void RequestQuarantine::NotifyUpdates() {
-  std::function<void()> on_news;
+  std::function<void()> on_updates;
   {
     const std::lock_guard lock(mutex_);
-    on_news = on_news_;
+    on_updates = on_updates_;
   }
-  if (on_news) {
-    on_news();
+  if (on_updates) {
+    on_updates();
   }
 }
 
 CrashUpdates RequestQuarantine::TakeUpdates() {
   const std::lock_guard lock(mutex_);
-  return std::exchange(news_, {});
+  return std::exchange(updates_, {});
 }
 
 CrashUpdates RequestQuarantine::Take(const CrashReport& report, TimePoint now) {
-  CrashUpdates news;
+  CrashUpdates updates;
   const std::lock_guard lock(mutex_);
-  for (const CrashReport::Sighting& it : report.sightings) {
-    const CrashObservation sighting{it.request, it.endpoint, now - it.age};
-    if (ledger_.Add(sighting, now)) {
-      news.sightings.push_back(sighting);
-      LogWhereQuarantined(sighting);
+  for (const CrashReport::Observation& it : report.observations) {
+    const CrashObservation observation{it.request, it.endpoint, now - it.age};
+    if (tracker_.Add(observation, now)) {
+      updates.observations.push_back(observation);
+      LogIfQuarantined(observation);
     }
   }
   for (const CrashReport::Cleared& it : report.cleared) {
     const ClearedRequest cleared{it.request, now - it.age};
-    const std::size_t crashes = ledger_.Clear(cleared, now);
+    const std::size_t crashes = tracker_.Clear(cleared, now);
     if (crashes > 0) {
-      news.cleared.push_back({cleared, crashes});
+      updates.cleared.push_back({cleared, crashes});
     }
   }
   UpdateHasSuspects();
-  return news;
+  return updates;
 }
 
-CrashReport RequestQuarantine::Evidence(std::size_t least,
+CrashReport RequestQuarantine::Evidence(std::size_t min_crashes,
                                         TimePoint now) const {
   const std::lock_guard lock(mutex_);
   CrashUpdates all;
-  for (const RequestFingerprint request : ledger_.Suspects(least)) {
-    const std::vector<CrashObservation> sightings =
-        ledger_.ObservationsOf(request);
-    if (all.sightings.size() + sightings.size() > kMostSightings) {
+  for (const RequestFingerprint request : tracker_.Suspects(min_crashes)) {
+    const std::vector<CrashObservation> observations =
+        tracker_.ObservationsOf(request);
+    if (all.observations.size() + observations.size() > kMaxObservations) {
       break;
     }
-    std::ranges::copy(sightings, std::back_inserter(all.sightings));
+    std::ranges::copy(observations, std::back_inserter(all.observations));
   }
   return MakeCrashReport(all, now);
 }
@@ -183,7 +184,7 @@
 std::vector<CrashObservation> RequestQuarantine::ObservationsOf(
     RequestFingerprint request) const {
   const std::lock_guard lock(mutex_);
-  return ledger_.ObservationsOf(request);
+  return tracker_.ObservationsOf(request);
 }
 
 std::string RequestQuarantine::RenderMetrics() const {
@@ -194,7 +195,7 @@
       << "# TYPE damasktack_quarantine_refusals_total counter\n"
       << "damasktack_quarantine_refusals_total " << refused_ << "\n"
       << "# TYPE damasktack_crashes_remembered gauge\n"
-      << "damasktack_crashes_remembered " << ledger_.crashes() << "\n";
+      << "damasktack_crashes_remembered " << tracker_.crashes() << "\n";
   return out.str();
 }
 
