--- a/fleet/cbor_bounds.cc
+++ b/fleet/cbor_bounds.cc
@@ -19,7 +19,7 @@
   kTag = 6,
 };
 
-// The first bytes of one value: its type, and its number or length.
+// The head of a value: its major type, and its number or length.
 struct Head {
   std::uint8_t major = 0;
   std::uint64_t argument = 0;
@@ -33,22 +33,24 @@
               std::move(found), std::string(kRemedy));
 }
 
-class Walker {
+class BoundsChecker {
  public:
-  Walker(std::string_view bytes, std::string_view where, std::size_t most_items)
-      : bytes_(bytes), where_(where), most_items_(most_items) {}
-
-  leaf::result<void> Walk() {
-    // How many values each open array or map still wants.
-    std::vector<std::uint64_t> wanted{1};
+  BoundsChecker(std::string_view bytes,
+                std::string_view where,
+                std::size_t max_items)
+      : bytes_(bytes), where_(where), max_items_(max_items) {}
+
+  leaf::result<void> Check() {
+    // Number of values that each open array or map still expects.
+    std::vector<std::uint64_t> expected{1};
     std::size_t items = 0;
-    while (!wanted.empty()) {
-      if (wanted.back() == 0) {
-        wanted.pop_back();
+    while (!expected.empty()) {
+      if (expected.back() == 0) {
+        expected.pop_back();
         continue;
       }
-      --wanted.back();
-      if (++items > most_items_) {
+      --expected.back();
+      if (++items > max_items_) {
         return Refuse(where_, position_, "too many values");
       }
       BOOST_LEAF_AUTO(head, ReadHead());
@@ -56,10 +58,10 @@
       if (children == 0) {
         continue;
       }
-      if (wanted.size() == kDeepestCbor) {
+      if (expected.size() == kMaxCborDepth) {
         return Refuse(where_, position_, "nested too deep");
       }
-      wanted.push_back(children);
+      expected.push_back(children);
     }
     if (position_ != bytes_.size()) {
       return Refuse(where_, position_, "bytes after the value");
@@ -100,7 +102,7 @@
     return head;
   }
 
-  // Values inside this one; skips the bytes of a string.
+  // Returns the number of values inside this one; skips the bytes of a string.
   leaf::result<std::uint64_t> Children(const Head& head) {
     const bool counted = head.major >= kByteString && head.major <= kMap;
     if (counted && head.argument > left()) {
@@ -124,7 +126,7 @@
 
   std::string_view bytes_;
   std::string_view where_;
-  std::size_t most_items_;
+  std::size_t max_items_;
   std::size_t position_ = 0;
 };
 
@@ -132,14 +134,14 @@
 
 leaf::result<void> CheckCborBounds(std::string_view bytes,
                                    std::string_view where,
-                                   std::size_t most_items) {
-  return Walker(bytes, where, most_items).Walk();
+                                   std::size_t max_items) {
+  return BoundsChecker(bytes, where, max_items).Check();
 }
 
 leaf::result<Json> ParseCbor(std::string_view bytes,
                              std::string_view where,
-                             std::size_t most_items) {
-  BOOST_LEAF_CHECK(CheckCborBounds(bytes, where, most_items));
+                             std::size_t max_items) {
+  BOOST_LEAF_CHECK(CheckCborBounds(bytes, where, max_items));
   Json json = Json::from_cbor(bytes.begin(), bytes.end(), true, false);
   if (json.is_discarded()) {
     return Fail(ErrorKind::kProtocol, std::string(where), "not a CBOR value",
--- a/fleet/cbor_bounds.h
+++ b/fleet/cbor_bounds.h
@@ -9,25 +9,25 @@
 
 namespace damasktack {
 
-inline constexpr std::size_t kDeepestCbor = 16;
-inline constexpr std::size_t kMostCborItems = 65'536;
+inline constexpr std::size_t kMaxCborDepth = 16;
+inline constexpr std::size_t kMaxCborItems = 65'536;
 
-// Checks that `bytes` is exactly one CBOR value with lengths known in
-// advance, no tags, at most kDeepestCbor levels and `most_items` values.
+// Checks that `bytes` is exactly one CBOR value with definite lengths, without
+// tags, with at most kMaxCborDepth levels and `max_items` values. `where` names
+// the source in errors.
 //
-// The JSON library decodes nested values, and strings of unknown length, by
-// recursion: a megabyte of 0x7f bytes would end the process by overflow of its
-// stack. This check runs in constant stack before it, and what passes cannot
-// make the library recurse deeper or hold more values than the bounds say.
-// `where` names the source in errors.
+// The JSON library decodes nested values, and strings of indefinite length, by
+// recursion: one megabyte of 0x7f bytes would overflow the stack and terminate
+// the process. This check uses constant stack space and runs first; input that
+// passes cannot make the library exceed these bounds.
 leaf::result<void> CheckCborBounds(std::string_view bytes,
                                    std::string_view where,
-                                   std::size_t most_items = kMostCborItems);
+                                   std::size_t max_items = kMaxCborItems);
 
 // Parses one CBOR value within these bounds.
 leaf::result<Json> ParseCbor(std::string_view bytes,
                              std::string_view where,
-                             std::size_t most_items = kMostCborItems);
+                             std::size_t max_items = kMaxCborItems);
 
 }  // namespace damasktack
 
--- a/fleet/early_part.cc
+++ b/fleet/early_part.cc
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Endpoints of a service with which its calls can be placed: not all of them
-// are slow or full.
-constexpr std::ptrdiff_t kFewestEndpoints = 4;
+// With this many live endpoints the requests of a service can be placed even if
+// some of them are slow or full.
+constexpr std::ptrdiff_t kMinEndpointsPerService = 4;
 
 std::ptrdiff_t CountLive(const PublishedItems& items,
                          const ServiceId& service) {
@@ -29,18 +29,18 @@
 
 }  // namespace
 
-bool IsOfOperator(const PublishedItem& item) {
+bool IsOperatorItem(const PublishedItem& item) {
   return IsBook(item) || std::holds_alternative<ZoneDrain>(item.value);
 }
 
-bool ServesEachRoute(const PublishedItems& items) {
+bool HasEndpointsForEachService(const PublishedItems& items) {
   const auto book = std::ranges::find_if(items.items, IsBook);
   if (book == items.items.end()) {
     return false;
   }
   return std::ranges::all_of(
       std::get<RouteBook>(book->value).services, [&](const ServiceTraits& it) {
-        return CountLive(items, it.id) >= kFewestEndpoints;
+        return CountLive(items, it.id) >= kMinEndpointsPerService;
       });
 }
 
--- a/fleet/early_part.h
+++ b/fleet/early_part.h
@@ -5,12 +5,13 @@
 
 namespace damasktack {
 
-// Of what a host that starts has read first.
+// Checks on the result of the early read of a starting host.
 
-// Whether the operator published it, and not an endpoint.
-bool IsOfOperator(const PublishedItem& item);
-// Whether the items have a book and enough endpoints for each of its services.
-bool ServesEachRoute(const PublishedItems& items);
+// Whether the item was published by the operator: routes or a zone drain.
+bool IsOperatorItem(const PublishedItem& item);
+// Whether the items contain routes and enough live endpoints for each service
+// of these routes.
+bool HasEndpointsForEachService(const PublishedItems& items);
 
 }  // namespace damasktack
 
--- a/fleet/endpoint_messages.cc
+++ b/fleet/endpoint_messages.cc
@@ -14,27 +14,28 @@
 using detail::ReadTime;
 using detail::ToMicroseconds;
 
-constexpr std::int64_t kMostCount = 1'000'000'000'000;
-// Far beyond any clock, and far from where adding times would overflow.
-constexpr std::int64_t kLatestStartMs = 1'000'000'000'000'000;
+constexpr std::int64_t kMaxCount = 1'000'000'000'000;
+// Upper bound of start times: far beyond any real clock, and small enough that
+// sums of times cannot overflow.
+constexpr std::int64_t kMaxStartMs = 1'000'000'000'000'000;
 constexpr std::string_view kRemedy =
     "check that the sender is a daemon of this system";
 
-// What the places of a row hold.
+// The values of a row, in order.
 constexpr std::array<std::string_view, 9> kColumns = {
     "revision", "id",      "service", "address",      "zone",
     "slots",    "leaving", "cold_us", "started_at_ms"};
 
-// Names that rows refer to by their place.
+// A table of names that rows refer to by index.
 class NameList {
  public:
-  std::size_t PlaceOf(const std::string& name) {
+  std::size_t IndexOf(const std::string& name) {
     const auto known = std::ranges::find(names_, name);
-    const auto place = static_cast<std::size_t>(known - names_.begin());
+    const auto index = static_cast<std::size_t>(known - names_.begin());
     if (known == names_.end()) {
       names_.push_back(name);
     }
-    return place;
+    return index;
   }
   Json ToJson() const { return names_; }
 
@@ -47,9 +48,9 @@
            NameList& services,
            NameList& zones) {
   return Json::array({revision, endpoint.spec.id.text(),
-                      services.PlaceOf(endpoint.service.text()),
+                      services.IndexOf(endpoint.service.text()),
                       ToString(endpoint.spec.address),
-                      zones.PlaceOf(endpoint.spec.zone.text()),
+                      zones.IndexOf(endpoint.spec.zone.text()),
                       endpoint.spec.slots,
                       endpoint.spec.state == ListedState::kLeaving,
                       ToMicroseconds(endpoint.cold_for),
@@ -58,8 +59,7 @@
 
 leaf::result<Json> NameColumns(const Json& row, const std::string& path) {
   if (!row.is_array() || row.size() != kColumns.size()) {
-    return Fail(ErrorKind::kWrongType, path,
-                "something else than a row of an endpoint",
+    return Fail(ErrorKind::kWrongType, path, "not a row of an endpoint",
                 std::string(kRemedy));
   }
   Json::object_t members;
@@ -74,14 +74,14 @@
 std::string ReadName(JsonReader& reader,
                      std::string_view key,
                      const std::vector<std::string>& names) {
-  std::int64_t place = 0;
-  reader.Read(key, place, 0, kMostCount);
-  if (static_cast<std::size_t>(place) >= names.size()) {
-    reader.Refuse(ErrorKind::kOutOfRange, key, std::to_string(place),
+  std::int64_t index = 0;
+  reader.Read(key, index, 0, kMaxCount);
+  if (static_cast<std::size_t>(index) >= names.size()) {
+    reader.Refuse(ErrorKind::kOutOfRange, key, std::to_string(index),
                   std::string(kRemedy));
     return {};
   }
-  return names[static_cast<std::size_t>(place)];
+  return names[static_cast<std::size_t>(index)];
 }
 
 leaf::result<PublishedItem> ParseRow(const Json& row,
@@ -98,10 +98,10 @@
   reader.Read("revision", item.revision);
   reader.Read("id", id);
   reader.Read("address", endpoint.spec.address);
-  reader.Read("slots", endpoint.spec.slots, 1, kMostCount);
+  reader.Read("slots", endpoint.spec.slots, 1, kMaxCount);
   reader.ReadOptional("leaving", leaving);
   ReadTime(reader, "cold_us", endpoint.cold_for);
-  reader.ReadOptional("started_at_ms", started_at_ms, 0, kLatestStartMs);
+  reader.ReadOptional("started_at_ms", started_at_ms, 0, kMaxStartMs);
   endpoint.service = ServiceId(ReadName(reader, "service", services));
   endpoint.spec.zone = ZoneId(ReadName(reader, "zone", zones));
   BOOST_LEAF_CHECK(reader.Finish());
@@ -175,8 +175,7 @@
                          it[0].is_number_unsigned() && it[1].is_string();
     if (!is_pair) {
       return Fail(ErrorKind::kWrongType, path,
-                  "something else than a revision and an id",
-                  std::string(kRemedy));
+                  "not a pair of a revision and an id", std::string(kRemedy));
     }
     items.push_back({it[0].get<Revision>(),
                      RemovedEndpoint{EndpointId(it[1].get<std::string>())}});
--- a/fleet/endpoint_messages.h
+++ b/fleet/endpoint_messages.h
@@ -9,21 +9,20 @@
 
 namespace damasktack {
 
-// Published endpoints as they are written in messages between hosts: rows of
-// values in a fixed order, with the names of services and zones once. A seed
-// sends each change to every host that follows it, so that the names of the
-// members were most of what a fleet's hosts sent: 165 bytes for an endpoint as
-// an object, 50 as a row.
+// Encodes published endpoints for messages between hosts: as rows of values in
+// a fixed order, with the names of services and zones written once. A seed
+// sends each change to all its followers, and member names made up most of the
+// traffic: 165 bytes per endpoint as an object, 50 bytes as a row.
 //
-// `items` may hold other values too; these are passed over.
+// Other kinds of values in `items` are skipped.
 Json EndpointsToJson(const std::vector<PublishedItem>& items);
-// Appends what the table holds.
+// Appends the endpoints of the table to `items`.
 leaf::result<void> ParseEndpoints(const Json& json,
                                   const std::string& path,
                                   std::vector<PublishedItem>& items);
 
-// Removed endpoints, and those that cannot be used: pairs of a revision and an
-// id. Who cannot use an entry need not know why another could not.
+// Encodes removed and unusable endpoints as pairs of a revision and an ID. The
+// receiver does not need to know why an entry is unusable.
 Json RemovalsToJson(const std::vector<PublishedItem>& items);
 leaf::result<void> ParseRemovals(const Json& json,
                                  const std::string& path,
--- a/fleet/feed_options.h
+++ b/fleet/feed_options.h
@@ -13,73 +13,78 @@
 
 struct PublishedFeedOptions {
   HostId self;
-  // Where peers reach this host, and the hosts at which peers find each other.
+  // Address under which peers reach this host, and the seeds in order of rank.
   SocketAddress address;
   std::vector<SocketAddress> seeds;
 
-  // A host whose knowledge was confirmed longer ago than this asks the store
-  // itself. Together with a call to the store it stays below the two seconds
-  // in which a change has to be in force. Seeds are sooner, so that those that
-  // they feed need not ask as well.
+  // A host reads the store itself if its data was last confirmed longer ago
+  // than this. Together with the duration of a store call it stays below the
+  // two seconds within which a change must take effect. Seeds use a shorter
+  // limit so that their followers need not read the store as well.
   Duration stale = std::chrono::milliseconds(1400);
   Duration seed_stale = std::chrono::milliseconds(1000);
-  // How long a host that starts waits for a feed before it asks the store.
+  // How long a starting host waits for an update before it reads the store.
   Duration start_patience = std::chrono::milliseconds(250);
-  // Whether a host that starts reads any copy of the store at once: first the
-  // routes and a part of the endpoints, which it serves by, then all of them.
-  // After a loss of power all hosts start together and nobody can feed them;
-  // what an old copy says is as good as what they knew before, and is confirmed
-  // or replaced within start_patience.
+  // Whether a starting host first reads from any replica of the store: the
+  // routes and a part of the endpoints, with which it serves requests, then all
+  // endpoints. After a power loss all hosts start together and no host can feed
+  // them; a stale replica is as good as what they knew before, and its data is
+  // confirmed or replaced within `copy_feed_timeout`.
   bool early_read = false;
-  // The same patience from the moment when such a copy has been read: the host
-  // can serve by it, and the seeds are back within a second after a loss of
-  // power. No longer than `longest_start` after its start: no endpoint that
-  // left is to get calls for longer than two seconds and a call to the store.
-  Duration copy_patience = std::chrono::milliseconds(1000);
-  Duration longest_start = std::chrono::milliseconds(2000);
-  // A host tries the next seed where one has not fed it for this long.
-  Duration seed_patience = std::chrono::milliseconds(400);
-  // The link to a seed that fed it is kept for this long while it does not, so
-  // that a seed that is slow for a moment is not dialed anew by all its hosts.
-  Duration seed_memory = std::chrono::milliseconds(3000);
+  // How long a host waits for an update after the early read: it can serve
+  // requests with that data, and the seeds are back within a second after a
+  // power loss. The wait ends at the latest `max_start_wait` after the start,
+  // so that no endpoint that has left receives requests for longer than two
+  // seconds plus a store call.
+  Duration copy_feed_timeout = std::chrono::milliseconds(1000);
+  Duration max_start_wait = std::chrono::milliseconds(2000);
+  // A host tries the next seed if it has not been fed for this long.
+  Duration seed_timeout = std::chrono::milliseconds(400);
+  // How long a link to a seed is kept after the last update from it, so that a
+  // seed that is briefly slow is not reconnected by all its hosts.
+  Duration seed_link_retention = std::chrono::milliseconds(3000);
 
-  // Between two hellos to a seed that this host follows.
+  // Interval between hellos to a seed that this host follows.
   Duration hello = std::chrono::milliseconds(1500);
 
-  // After a loss of power hosts come back one after the other, and the first
-  // ones would take the fleet's turns at an endpoint for theirs. A seat counts
-  // from so long after the start, when all have said hello three times.
-  Duration seat_settling = std::chrono::milliseconds(5000);
+  // A host number is used only this long after the start, when all hosts have
+  // sent three hellos. After a power loss hosts return one after the other, and
+  // the first ones would take shares of an endpoint that belong to the whole
+  // fleet.
+  Duration number_settling_time = std::chrono::milliseconds(5000);
 
-  // An update with more entries of endpoints goes out in parts, so that no size
-  // of a fleet makes a frame that peers refuse or that holds up their calls.
-  std::size_t most_part_entries = 1000;
-  // How long the next part of a transfer is waited for.
-  Duration part_patience = std::chrono::milliseconds(1000);
+  // Maximum number of endpoint entries per message. Larger updates are sent in
+  // parts, so that no fleet size produces a frame that peers reject or that
+  // delays their requests.
+  std::size_t max_part_entries = 1000;
+  // How long to wait for the next part of an update.
+  Duration part_timeout = std::chrono::milliseconds(1000);
 
-  // One watch waits this long; each answer confirms what the fleet knows.
+  // Duration of a store watch; each response confirms the data of the fleet.
   Duration watch = std::chrono::milliseconds(600);
-  // Changes that come within this time cost one call together.
+  // Delay before the next watch after one that returned changes, so that
+  // changes within this time cost one store call.
   Duration gather = std::chrono::milliseconds(150);
-  // Between failed calls: doubled from the first to the second, jittered. Hosts
-  // that are no seeds wait longer: the seeds tell them when the store is back.
-  // In an outage of which a seed says that it asks in vain, all hosts that are
-  // no seeds ask once within `outage_share` together, so that the calls do not
-  // grow with the fleet.
+  // Backoff between failed store calls: doubled from the shortest to the
+  // longest, with jitter. Hosts that are not seeds wait longer because the
+  // seeds tell them when the store is back. During an outage reported by a
+  // seed, all hosts that are not seeds together make one call per
+  // `outage_call_spacing`, so that the number of calls does not grow with the
+  // fleet.
   Duration shortest_backoff = std::chrono::milliseconds(150);
   Duration longest_backoff = std::chrono::milliseconds(700);
   Duration longest_follower_backoff = std::chrono::milliseconds(2000);
-  Duration outage_share = std::chrono::milliseconds(100);
-  // A seed that asks in vain says so this often, and is taken at its word for
-  // `outage_word_holds`: two words may be lost.
-  Duration outage_word = std::chrono::milliseconds(400);
-  Duration outage_word_holds = std::chrono::milliseconds(1200);
-  // An endpoint that vanishes this soon after the store was out of reach may
-  // only have lost its lease.
+  Duration outage_call_spacing = std::chrono::milliseconds(100);
+  // Interval at which a seed that cannot reach the store sends outage notices,
+  // and how long a notice is valid: two of them may be lost.
+  Duration outage_notice_interval = std::chrono::milliseconds(400);
+  Duration outage_notice_validity = std::chrono::milliseconds(1200);
+  // An endpoint that is removed within this time after a store outage may only
+  // have lost its lease.
   Duration after_outage = std::chrono::milliseconds(2500);
 };
 
-// What the owner of a feed is to do next.
+// The next action for the owner of a feed.
 struct FeedStep {
   enum class Kind : std::uint8_t {
     kWait,
@@ -90,7 +95,8 @@
   };
 
   Kind kind = Kind::kWait;
-  // The longest wait, of the watch or before the next step.
+  // Maximum duration of the watch or of the wait before the next step; timeout
+  // of a read.
   Duration time{};
 };
 
--- a/fleet/feed_peers.cc
+++ b/fleet/feed_peers.cc
@@ -31,7 +31,7 @@
   return hosts;
 }
 
-std::int64_t FeedPeers::MostFollowersElsewhere() const {
+std::int64_t FeedPeers::MaxFollowersOfOtherSeeds() const {
   std::int64_t most = 0;
   for (const auto& [host, peer] : peers_) {
     if (peer.IsSeed()) {
@@ -41,42 +41,43 @@
   return most;
 }
 
-bool FeedPeers::HaveWordOfOutage(Duration holds, TimePoint now) const {
+bool FeedPeers::AnyReportsOutage(Duration validity, TimePoint now) const {
   return std::ranges::any_of(peers_, [&](const auto& it) {
-    return it.second.HasWordOfOutage(holds, now);
+    return it.second.ReportsOutage(validity, now);
   });
 }
 
-bool FeedPeers::IsAttendedBy(const SocketAddress& seed,
-                             const PublishedFeedOptions& options,
-                             TimePoint now) const {
+bool FeedPeers::IsServedBy(const SocketAddress& seed,
+                           const PublishedFeedOptions& options,
+                           TimePoint now) const {
   return std::ranges::any_of(peers_, [&](const auto& it) {
     const FeedPeer& peer = it.second;
-    const bool feeds = peer.fed_at && now - *peer.fed_at < options.seed_memory;
+    const bool feeds =
+        peer.fed_at && now - *peer.fed_at < options.seed_link_retention;
     return peer.hello && peer.hello->address == seed &&
-           (feeds || peer.HasWordOfOutage(options.outage_word_holds, now));
+           (feeds || peer.ReportsOutage(options.outage_notice_validity, now));
   });
 }
 
-void FeedPeers::ForgetOutages() {
+void FeedPeers::ClearOutages() {
   for (auto& [host, peer] : peers_) {
     peer.outage_at.reset();
   }
 }
 
-std::vector<HostId> FeedPeers::TakeUngreeted() {
+std::vector<HostId> FeedPeers::TakePeersWithoutHello() {
   std::vector<HostId> hosts;
   for (auto& [host, peer] : peers_) {
-    if (!std::exchange(peer.is_greeted, true)) {
+    if (!std::exchange(peer.is_hello_sent, true)) {
       hosts.push_back(host);
     }
   }
   return hosts;
 }
 
-void FeedPeers::GreetAnew() {
+void FeedPeers::ResetHellos() {
   for (auto& [host, peer] : peers_) {
-    peer.is_greeted = false;
+    peer.is_hello_sent = false;
   }
 }
 
--- a/fleet/feed_peers.h
+++ b/fleet/feed_peers.h
@@ -14,29 +14,31 @@
 
 namespace damasktack {
 
-// One host that this one is linked to.
+// State of one linked host.
 struct FeedPeer {
   std::optional<FeedHello> hello;
-  bool is_greeted = false;
-  // What was sent to it or heard from it.
+  bool is_hello_sent = false;
+  // The newest revision, and its confirmation time, sent to the peer or
+  // received from it.
   Revision sent = 0;
   TimePoint sent_confirmed;
   FeedTransfer transfer;
-  // What it fed was confirmed then, and its last word of an outage came then.
+  // Confirmation time of the last update from the peer, and when its last
+  // outage notice arrived.
   std::optional<TimePoint> fed_at;
   std::optional<TimePoint> outage_at;
 
   bool IsSeed() const { return hello && hello->rank != FeedHello::kNoSeed; }
-  bool HasWordOfOutage(Duration holds, TimePoint now) const {
-    return outage_at && now - *outage_at < holds;
+  bool ReportsOutage(Duration validity, TimePoint now) const {
+    return outage_at && now - *outage_at < validity;
   }
 };
 
-// The hosts that this one is linked to, by their place in the feed: what is
-// published passes from lower ranks to higher ones. Pure.
+// The linked hosts and their ranks: published data is forwarded from lower
+// ranks to higher ones. It is a pure state machine.
 class FeedPeers {
  public:
-  // Of this host; another one once the seeds have changed.
+  // Sets the rank of this host; it changes with the seeds.
   void SetRank(std::int64_t rank) { rank_ = rank; }
 
   void OnLinkUp(const HostId& host) { peers_[host] = FeedPeer(); }
@@ -51,26 +53,27 @@
     return peer.hello && peer.hello->rank < rank_;
   }
   std::vector<HostId> Followers() const;
-  // Hosts that follow this one and are no seeds.
+  // Returns the number of followers that are not seeds.
   std::int64_t CountFollowers() const;
-  // All hosts of the fleet, this one included, as a seed that reads the store
-  // counts them. Each host follows one seed as a rule; while one looks for
-  // another seed it is counted twice, which makes shares smaller.
+  // Returns the number of hosts in the fleet, including this one, as counted by
+  // a seed that reads the store. Each host usually follows one seed; while it
+  // switches to another seed it is counted twice, which makes shares smaller.
   std::int64_t CountHosts() const;
 
-  // The most hosts that follow another seed.
-  std::int64_t MostFollowersElsewhere() const;
+  // Returns the largest number of followers of any other seed.
+  std::int64_t MaxFollowersOfOtherSeeds() const;
 
-  bool HaveWordOfOutage(Duration holds, TimePoint now) const;
-  // Whether the seed does for this host what it can.
-  bool IsAttendedBy(const SocketAddress& seed,
-                    const PublishedFeedOptions& options,
-                    TimePoint now) const;
+  bool AnyReportsOutage(Duration validity, TimePoint now) const;
+  // Whether the seed feeds this host or has recently reported an outage.
+  bool IsServedBy(const SocketAddress& seed,
+                  const PublishedFeedOptions& options,
+                  TimePoint now) const;
 
-  void ForgetOutages();
-  // Peers that have not had a hello since the last call or GreetAnew.
-  std::vector<HostId> TakeUngreeted();
-  void GreetAnew();
+  void ClearOutages();
+  // Returns the peers that need a hello, once each after they were linked and
+  // after ResetHellos.
+  std::vector<HostId> TakePeersWithoutHello();
+  void ResetHellos();
 
  private:
   std::int64_t rank_ = FeedHello::kNoSeed;
--- a/fleet/feed_seating.cc
+++ b/fleet/feed_seating.cc
@@ -7,11 +7,11 @@
 
 namespace {
 
-// Many times the hosts that follow one seed.
-constexpr std::int64_t kMostIndex = 4096;
-// The number of seats grows by steps, so many while it doubles: all hosts are
-// told of each.
-constexpr std::uint64_t kSteps = 8;
+// Far more than the hosts that follow one seed.
+constexpr std::int64_t kMaxIndex = 4096;
+// The number limit grows in this many steps per doubling, because all hosts are
+// told about each change.
+constexpr std::uint64_t kStepsPerDoubling = 8;
 
 }  // namespace
 
@@ -19,85 +19,87 @@
                           std::int64_t seeds) {
   rank_ = rank;
   seeds_ = std::max<std::int64_t>(seeds, 1);
-  MakeRoom(0);
+  GrowNumberLimit(0);
 }
 
-void FeedSeating::MakeRoom(std::int64_t most_index) {
-  const std::int64_t indexes = std::min(most_index, kMostIndex) + 1;
+void FeedSeating::GrowNumberLimit(std::int64_t max_index) {
+  const std::int64_t indexes = std::min(max_index, kMaxIndex) + 1;
   const std::int64_t needed = seeds_ * indexes;
   const auto step = static_cast<std::int64_t>(std::max<std::uint64_t>(
-      std::bit_floor(static_cast<std::uint64_t>(needed)) / kSteps, 1));
-  seats_ = std::max(seats_, (needed + step - 1) / step * step);
+      std::bit_floor(static_cast<std::uint64_t>(needed)) / kStepsPerDoubling,
+      1));
+  number_limit_ = std::max(number_limit_, (needed + step - 1) / step * step);
 }
 
 bool FeedSeating::IsFree(std::int64_t index) const {
-  return std::ranges::none_of(
-      held_, [index](const auto& it) { return it.second.index == index; });
+  return std::ranges::none_of(reservations_, [index](const auto& it) {
+    return it.second.index == index;
+  });
 }
 
-std::int64_t FeedSeating::IndexOf(const HostId& host,
-                                  const FleetSeat& claimed,
-                                  TimePoint now) {
-  std::erase_if(held_, [&](const auto& it) {
-    return it.first != host && now - it.second.heard_at >= kHeld;
+std::int64_t FeedSeating::AssignIndex(const HostId& host,
+                                      const FleetSeat& claimed,
+                                      TimePoint now) {
+  std::erase_if(reservations_, [&](const auto& it) {
+    return it.first != host && now - it.second.heard_at >= kReservation;
   });
-  const auto known = held_.find(host);
-  if (known != held_.end()) {
+  const auto known = reservations_.find(host);
+  if (known != reservations_.end()) {
     known->second.heard_at = now;
     return known->second.index;
   }
   const bool is_own_number =
       claimed.IsKnown() && claimed.number % seeds_ == *rank_;
   std::int64_t index = is_own_number ? claimed.number / seeds_ : 0;
-  if (index < 1 || index > kMostIndex || !IsFree(index)) {
+  if (index < 1 || index > kMaxIndex || !IsFree(index)) {
     index = 1;
     while (!IsFree(index)) {
       ++index;
     }
   }
-  held_[host] = {index, now};
+  reservations_[host] = {index, now};
   return index;
 }
 
-FleetSeat FeedSeating::SeatOf(const HostId& host,
-                              const FleetSeat& claimed,
-                              std::int64_t others,
-                              TimePoint now) {
-  const std::int64_t index = IndexOf(host, claimed, now);
-  MakeRoom(std::max(index, others));
-  return {NumberOf(index), seats_};
+FleetSeat FeedSeating::AssignNumber(const HostId& host,
+                                    const FleetSeat& claimed,
+                                    std::int64_t others,
+                                    TimePoint now) {
+  const std::int64_t index = AssignIndex(host, claimed, now);
+  GrowNumberLimit(std::max(index, others));
+  return {NumberAt(index), number_limit_};
 }
 
-void FeedSeating::HearSeats(std::int64_t seats) {
-  if (seats <= seeds_ * kMostIndex) {
-    seats_ = std::max(seats_, seats);
+void FeedSeating::RaiseNumberLimit(std::int64_t limit) {
+  if (limit <= seeds_ * kMaxIndex) {
+    number_limit_ = std::max(number_limit_, limit);
   }
 }
 
-void FeedSeating::OnSeat(const HostId& seed, const FleetSeat& seat) {
-  told_ = seat;
-  told_by_ = seed;
-  ends_at_.reset();
+void FeedSeating::OnNumberAssigned(const HostId& seed, const FleetSeat& seat) {
+  assigned_ = seat;
+  assigned_by_ = seed;
+  expires_at_.reset();
 }
 
 void FeedSeating::OnLinkUp(const HostId& seed) {
-  if (seed == told_by_) {
-    ends_at_.reset();
+  if (seed == assigned_by_) {
+    expires_at_.reset();
   }
 }
 
 void FeedSeating::OnLinkDown(const HostId& seed, TimePoint now) {
-  if (seed == told_by_ && !ends_at_) {
-    ends_at_ = now + kLease;
+  if (seed == assigned_by_ && !expires_at_) {
+    expires_at_ = now + kLease;
   }
 }
 
-FleetSeat FeedSeating::Own(TimePoint now) const {
+FleetSeat FeedSeating::OwnNumber(TimePoint now) const {
   if (rank_) {
-    return {NumberOf(0), seats_};
+    return {NumberAt(0), number_limit_};
   }
-  const bool has_ended = ends_at_ && now >= *ends_at_;
-  return has_ended ? FleetSeat() : told_;
+  const bool has_ended = expires_at_ && now >= *expires_at_;
+  return has_ended ? FleetSeat() : assigned_;
 }
 
 }  // namespace damasktack
--- a/fleet/feed_seating.h
+++ b/fleet/feed_seating.h
@@ -11,65 +11,69 @@
 
 namespace damasktack {
 
-// How hosts come to numbers of their own: each seed gives numbers to the hosts
-// that follow it, apart from those of other seeds. Pure.
+// Assigns a unique number to each host of the fleet: each seed assigns numbers
+// to its followers from a set disjoint from those of other seeds. It is a pure
+// state machine.
 //
-// A host keeps its number for a while without its seed, and the seed keeps it
-// for that host for longer, so that a number passes to another host only when
-// nobody goes by it any more. A seed that has started anew takes over the
-// numbers that its hosts tell it.
+// A host keeps its number for kLease after it lost its seed, and the seed
+// reserves the number for kReservation, which is longer, so a number is
+// reassigned only when no host uses it any longer. A restarted seed adopts the
+// numbers that its followers report.
 class FeedSeating {
  public:
-  // For how long a host goes by a number after its link to the seed went down,
-  // and for how long a seed keeps the number of a host that it does not hear.
+  // How long a host uses its number after its link to the seed went down, and
+  // how long a seed reserves the number of a host that it no longer hears from.
   static constexpr Duration kLease = std::chrono::seconds(20);
-  static constexpr Duration kHeld = std::chrono::seconds(60);
+  static constexpr Duration kReservation = std::chrono::seconds(60);
 
-  // This host's place among the seeds, null where it is none, and their number.
+  // Sets the rank of this host among the seeds, null if it is not a seed, and
+  // the number of seeds.
   void SetRank(std::optional<std::int64_t> rank, std::int64_t seeds);
 
-  // At a seed: the seat of a host that follows it and says which it has.
-  // `others` is the most hosts that follow another seed.
-  FleetSeat SeatOf(const HostId& host,
-                   const FleetSeat& claimed,
-                   std::int64_t others,
-                   TimePoint now);
-  // How many seats another host believes that there are.
-  void HearSeats(std::int64_t seats);
-  // At another host: what a seed says, and that the link to it is up or down.
-  void OnSeat(const HostId& seed, const FleetSeat& seat);
+  // On a seed: returns the number of a follower, which reports `claimed` as its
+  // current one. `others` is the largest number of followers of any other seed.
+  FleetSeat AssignNumber(const HostId& host,
+                         const FleetSeat& claimed,
+                         std::int64_t others,
+                         TimePoint now);
+  // Raises the number limit to the one reported by another host.
+  void RaiseNumberLimit(std::int64_t limit);
+  // On any other host: a seed has assigned a number, or the link to a seed is
+  // up or down.
+  void OnNumberAssigned(const HostId& seed, const FleetSeat& seat);
   void OnLinkUp(const HostId& seed);
   void OnLinkDown(const HostId& seed, TimePoint now);
 
-  // This host's own; none where it has not been told.
-  FleetSeat Own(TimePoint now) const;
+  // Returns the number of this host; unknown if none was assigned or the lease
+  // has expired.
+  FleetSeat OwnNumber(TimePoint now) const;
 
  private:
-  struct Held {
-    // From 1 up; 0 is the seed's own.
+  struct Reservation {
+    // Starts at 1; 0 is the index of the seed itself.
     std::int64_t index = 0;
     TimePoint heard_at;
   };
 
-  std::int64_t IndexOf(const HostId& host,
-                       const FleetSeat& claimed,
-                       TimePoint now);
+  std::int64_t AssignIndex(const HostId& host,
+                           const FleetSeat& claimed,
+                           TimePoint now);
   bool IsFree(std::int64_t index) const;
-  std::int64_t NumberOf(std::int64_t index) const {
+  std::int64_t NumberAt(std::int64_t index) const {
     return index * seeds_ + *rank_;
   }
-  // Never fewer seats than before: hosts that differ in their number share
-  // turns for a moment.
-  void MakeRoom(std::int64_t most_index);
+  // Raises the number limit, which never decreases: hosts with different limits
+  // overlap in their shares for a moment.
+  void GrowNumberLimit(std::int64_t max_index);
 
   std::optional<std::int64_t> rank_;
   std::int64_t seeds_ = 1;
-  std::int64_t seats_ = 1;
-  std::map<HostId, Held> held_;
+  std::int64_t number_limit_ = 1;
+  std::map<HostId, Reservation> reservations_;
 
-  FleetSeat told_;
-  HostId told_by_;
-  std::optional<TimePoint> ends_at_;
+  FleetSeat assigned_;
+  HostId assigned_by_;
+  std::optional<TimePoint> expires_at_;
 };
 
 }  // namespace damasktack
--- a/fleet/feed_transfer.cc
+++ b/fleet/feed_transfer.cc
@@ -3,19 +3,19 @@
 namespace damasktack {
 
 bool FeedTransfer::Continues(const FeedPart& part,
-                             Duration patience,
+                             Duration timeout,
                              TimePoint now) {
   const FeedUpdate& update = part.update;
   const bool is_next =
       part.range.IsFirst() ||
-      (IsUnderWay(now) && after_ == update.after &&
+      (IsInProgress(now) && after_ == update.after &&
        current_ == update.changes.current && begin_ == part.range.begin);
   *this = FeedTransfer();
   if (is_next && !part.range.IsLast()) {
     after_ = update.after;
     current_ = update.changes.current;
     begin_ = part.range.end;
-    until_ = now + patience;
+    expires_at_ = now + timeout;
   }
   return is_next;
 }
--- a/fleet/feed_transfer.h
+++ b/fleet/feed_transfer.h
@@ -7,19 +7,19 @@
 
 namespace damasktack {
 
-// An update that comes from a peer in parts, and where the next one begins.
+// Tracks an update received in parts and the start of the next expected part.
 class FeedTransfer {
  public:
-  // Whether the part is the one that is to come next. One that has not come
-  // after `patience` was lost.
-  bool Continues(const FeedPart& part, Duration patience, TimePoint now);
-  bool IsUnderWay(TimePoint now) const { return now < until_; }
+  // Whether the part is the next one expected. A part that does not arrive
+  // within `timeout` counts as lost.
+  bool Continues(const FeedPart& part, Duration timeout, TimePoint now);
+  bool IsInProgress(TimePoint now) const { return now < expires_at_; }
 
  private:
   Revision after_ = 0;
   Revision current_ = 0;
   EndpointId begin_;
-  TimePoint until_;
+  TimePoint expires_at_;
 };
 
 }  // namespace damasktack
--- a/fleet/fleet_core.cc
+++ b/fleet/fleet_core.cc
@@ -29,14 +29,14 @@
                        Incarnation incarnation,
                        TimePoint now) {
   membership_.LinkUp(host, incarnation, now);
-  Settle(now);
+  PropagateChanges(now);
 }
 
 void FleetCore::LinkDown(const HostId& host,
                          Incarnation incarnation,
                          TimePoint now) {
   membership_.LinkDown(host, incarnation, now);
-  Settle(now);
+  PropagateChanges(now);
 }
 
 void FleetCore::OnFrame(const Sender& sender,
@@ -60,16 +60,16 @@
     return;
   }
   ++counters_.messages_received;
-  // First the view, so that a module knows the sender of its message.
-  Settle(now);
+  // Update the view first, so that modules know the sender of the message.
+  PropagateChanges(now);
   ForEachModule(
       [&](auto& module) { module.OnMessage(sender, *message, now, out_); });
-  Settle(now);
+  PropagateChanges(now);
 }
 
 void FleetCore::Offer(Document document, DocumentOrigin origin, TimePoint now) {
   documents_.Offer(std::move(document), origin, now, out_);
-  Settle(now);
+  PropagateChanges(now);
 }
 
 void FleetCore::PlatformAsked(DocumentName name,
@@ -78,8 +78,8 @@
   if (check != check_number_) {
     return;
   }
-  platform_asked_[static_cast<std::size_t>(name)] = true;
-  EndCheckWhereDone(now);
+  platform_queried_[static_cast<std::size_t>(name)] = true;
+  EndCheckIfComplete(now);
 }
 
 void FleetCore::Tick(TimePoint now) {
@@ -88,9 +88,9 @@
     BeginCheck(now);
   }
   membership_.Tick(now, out_);
-  Settle(now);
+  PropagateChanges(now);
   ForEachModule([&](auto& module) { module.Tick(now, out_); });
-  EndCheckWhereDone(now);
+  EndCheckIfComplete(now);
 }
 
 void FleetCore::OnLateWake(TimePoint now) {
@@ -104,7 +104,7 @@
   if (options_.gates.limits != nullptr) {
     options_.gates.limits->HandBack(out_);
   }
-  Settle(now);
+  PropagateChanges(now);
 }
 
 void FleetCore::SayGoodbye() {
@@ -137,22 +137,23 @@
   ready_ = false;
   ++check_number_;
   check_began_ = now;
-  platform_asked_ = {};
+  platform_queried_ = {};
   documents_.AskAll(out_);
 }
 
-// The peers are waited for only as long as `peer_wait`: those that cannot be
-// reached must not keep a host from serving. A host that has no document yet
-// stays unready however long that takes.
-void FleetCore::EndCheckWhereDone(TimePoint now) {
+// Ends the check once the platform and all peers have been queried. Waits for
+// peers for at most `peer_wait`, because unreachable peers must not keep a host
+// out of service. A host without all documents stays unready for as long as
+// that takes.
+void FleetCore::EndCheckIfComplete(TimePoint now) {
   if (ready_ || !started_ || !HasAllDocuments()) {
     return;
   }
-  const bool platform_asked =
-      std::ranges::all_of(platform_asked_, [](bool it) { return it; });
-  const bool peers_asked = documents_.HasHeardAll() && AllPeersReached();
-  const bool waited = now - check_began_ >= options_.peer_wait;
-  ready_ = platform_asked && (peers_asked || waited);
+  const bool is_platform_queried =
+      std::ranges::all_of(platform_queried_, [](bool it) { return it; });
+  const bool are_peers_queried = documents_.HasHeardAll() && AllPeersReached();
+  const bool has_timed_out = now - check_began_ >= options_.peer_wait;
+  ready_ = is_platform_queried && (are_peers_queried || has_timed_out);
 }
 
 bool FleetCore::HasAllDocuments() const {
@@ -165,13 +166,14 @@
 }
 
 bool FleetCore::AllPeersReached() const {
-  const bool found = options_.seeds.empty() || !membership_.Linked().empty();
-  return found && std::ranges::all_of(view().peers, [](const PeerView& it) {
+  const bool has_links =
+      options_.seeds.empty() || !membership_.Linked().empty();
+  return has_links && std::ranges::all_of(view().peers, [](const PeerView& it) {
            return it.reachable;
          });
 }
 
-void FleetCore::Settle(TimePoint now) {
+void FleetCore::PropagateChanges(TimePoint now) {
   const auto list = documents_.InForce(DocumentName::kHosts);
   if (list != list_) {
     list_ = list;
@@ -181,13 +183,13 @@
           membership_.SetList(hosts, now);
           return {};
         },
-        // Cannot be: only checked values come into force.
+        // Unreachable: only valid documents become current.
         [](const Error&) {});
   }
   if (membership_.TakeChanged()) {
     ForEachModule([&](auto& module) { module.OnView(view(), now, out_); });
   }
-  EndCheckWhereDone(now);
+  EndCheckIfComplete(now);
 }
 
 }  // namespace damasktack
--- a/fleet/fleet_core.h
+++ b/fleet/fleet_core.h
@@ -16,7 +16,7 @@
 
 namespace damasktack {
 
-// What callers' threads share with the fleet; must outlive the core.
+// Objects that request threads share with the fleet; must outlive the core.
 struct FleetGates {
   FleetLimitGate* limits = nullptr;
   FleetClaimGate* claims = nullptr;
@@ -28,25 +28,25 @@
   FleetGates gates;
   MembershipOptions membership;
   DocumentStoreOptions documents;
-  // Where to look for peers while no list is known.
+  // Addresses to connect to while no host list is known or no host is linked.
   std::vector<SocketAddress> seeds;
-  // How long a check waits for peers that cannot be reached.
+  // Maximum time for which a check waits for unreachable peers.
   Duration peer_wait = std::chrono::seconds(2);
 };
 
 struct FleetCounters {
   std::uint64_t messages_received = 0;
-  // From another process than the linked one, or of no known host.
+  // Messages from a process other than the linked one, or from an unknown host.
   std::uint64_t messages_unheard = 0;
-  // Unknown kinds and newer versions.
+  // Messages of an unknown kind or a newer protocol version.
   std::uint64_t messages_ignored = 0;
   std::uint64_t messages_malformed = 0;
   std::uint64_t late_wakes = 0;
 };
 
-// All that one host knows and says about the fleet, without thread, socket or
-// clock: membership, documents and the further modules. FleetLoop runs it in
-// the daemon; tests run many of them over a network in memory.
+// Combines the fleet state and protocol of one host without threads, sockets or
+// clock: membership, documents and the other modules. FleetLoop runs it in the
+// daemon; tests run many instances over an in-memory network.
 class FleetCore {
  public:
   FleetCore(FleetCoreOptions options,
@@ -55,51 +55,53 @@
 
   void LinkUp(const HostId& host, Incarnation incarnation, TimePoint now);
   void LinkDown(const HostId& host, Incarnation incarnation, TimePoint now);
-  // Malformed frames are counted; the link that brought them is not trusted
-  // less, because its peer may be a newer daemon.
+  // Malformed frames are only counted: the link remains trusted because its
+  // peer may be a newer daemon.
   void OnFrame(const Sender& sender, std::string_view frame, TimePoint now);
   void Offer(Document document, DocumentOrigin origin, TimePoint now);
-  // The platform was asked for a document under this check: it answered, or it
-  // cannot be reached.
+  // The platform has answered a read of the document that was sent under this
+  // check, or the read has failed.
   void PlatformAsked(DocumentName name, std::uint64_t check, TimePoint now);
-  // An endpoint has told this host that it drains.
+  // An endpoint has reported to this host that it is draining.
   void DrainSighted(const DrainSighting& sighting, TimePoint now) {
     drains_.Sighted(sighting, now, out_);
   }
-  // Drains that peers have seen, since the last call.
+  // Returns the drains reported by peers since the last call.
   std::set<DrainSighting> TakeHeardDrains() { return drains_.TakeHeard(); }
   void Tick(TimePoint now);
 
-  // The process was stopped for a while and believes old things. It is not
-  // ready until it has asked platform and peers again.
+  // The process was suspended, so its data may be outdated. It is not ready
+  // until it has queried the platform and the peers again.
   void OnLateWake(TimePoint now);
   void SetLeaving(TimePoint now);
   void SayGoodbye();
-  // Carries out what callers' threads have left at the claim gate.
+  // Processes the requests that request threads have queued at the claim gate.
   void ServeClaims(TimePoint now);
-  // An operator's word that the last known process of `host` has ended.
+  // The operator confirms that the last known process of `host` has ended.
   void ConfirmGone(const HostId& host);
 
-  // Whether this host may take calls: it has all documents, and since it
-  // started or woke late it has asked the platform and the peers.
+  // Whether this host may serve requests: it has all documents, and has queried
+  // the platform and the peers since its start or last late wake-up.
   bool ready() const { return ready_; }
-  // Goes up with each check; the platform is to be asked anew.
+  // Number of the current check, increased with each one; the platform must be
+  // queried under it.
   std::uint64_t check_number() const { return check_number_; }
 
   const HostView& view() const { return membership_.view(); }
   const DocumentStore& documents() const { return documents_; }
   const FleetCounters& counters() const { return counters_; }
-  // Peers to open links to; seeds only while they are needed.
+  // Returns the peers to which links should be open, including seeds while they
+  // are needed.
   std::vector<PeerAddress> WantedLinks() const;
   std::vector<Outbox::Item> TakeOutbox() { return out_.Take(); }
 
  private:
-  // The one place that lists the modules of the fleet.
+  // Calls `body` for each module of the fleet; the only list of modules.
   template <typename Body>
   void ForEachModule(Body body) {
     body(documents_);
     body(drains_);
-    // Claims count whom the limits count, so limits come first.
+    // Limits come first because claims count the hosts that the limits count.
     if (options_.gates.limits != nullptr) {
       body(*options_.gates.limits);
     }
@@ -115,11 +117,11 @@
   }
 
   void BeginCheck(TimePoint now);
-  void EndCheckWhereDone(TimePoint now);
+  void EndCheckIfComplete(TimePoint now);
   bool HasAllDocuments() const;
   bool AllPeersReached() const;
-  // Carries changes from one part to the others after each event.
-  void Settle(TimePoint now);
+  // Propagates changes between the components after each event.
+  void PropagateChanges(TimePoint now);
 
   const FleetCoreOptions options_;
   Membership membership_;
@@ -127,7 +129,7 @@
   DrainSightings drains_;
   // Null without a quarantine.
   std::optional<CrashExchange> crashes_;
-  // Null where nobody asks for them.
+  // Null if endpoint rates are not exchanged.
   std::optional<EndpointRateExchange> rates_;
   Outbox out_;
   FleetCounters counters_;
@@ -137,7 +139,7 @@
   bool started_ = false;
   std::uint64_t check_number_ = 0;
   TimePoint check_began_;
-  std::array<bool, kDocumentCount> platform_asked_{};
+  std::array<bool, kDocumentCount> platform_queried_{};
 };
 
 }  // namespace damasktack
--- a/fleet/fleet_loop.cc
+++ b/fleet/fleet_loop.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-FleetState StateOf(const FleetCore& core) {
+FleetState MakeState(const FleetCore& core) {
   FleetState state;
   for (std::size_t n = 0; n < kDocumentCount; ++n) {
     const auto name = static_cast<DocumentName>(n);
@@ -25,12 +25,12 @@
   return state;
 }
 
-bool SameButCounters(const FleetState& a, const FleetState& b) {
+bool EqualExceptCounters(const FleetState& a, const FleetState& b) {
   for (std::size_t n = 0; n < kDocumentCount; ++n) {
-    const bool same_refusal =
+    const bool is_same_refusal =
         a.refused[n].has_value() == b.refused[n].has_value() &&
         (!a.refused[n] || a.refused[n]->version == b.refused[n]->version);
-    if (!same_refusal) {
+    if (!is_same_refusal) {
       return false;
     }
   }
@@ -55,7 +55,7 @@
 
 void FleetLoop::Start(PeerTransport& transport) {
   transport_ = &transport;
-  last_turn_ = Clock::now();
+  last_iteration_ = Clock::now();
   thread_ = std::thread([this] { Run(); });
 }
 
@@ -85,7 +85,7 @@
 }
 
 bool FleetLoop::IsCurrent(TimePoint now) const {
-  return now - last_turn_.load() <= options_.late_wake && state()->ready;
+  return now - last_iteration_.load() <= options_.late_wake && state()->ready;
 }
 
 void FleetLoop::OnLinkUp(const std::string& host, std::uint64_t incarnation) {
@@ -127,18 +127,18 @@
   while (true) {
     const std::deque<Event> events = WaitForEvents();
     const TimePoint now = Clock::now();
-    NoticeLateWake(now);
+    DetectLateWake(now);
     for (const Event& it : events) {
       it.task(core_, now);
     }
-    const bool tick = now >= next_tick_;
-    if (tick) {
+    const bool is_tick_due = now >= next_tick_;
+    if (is_tick_due) {
       core_.Tick(now);
       next_tick_ = now + options_.tick;
     }
     SendOutbox();
     UpdateLinks();
-    Publish(tick);
+    Publish(is_tick_due);
     for (const DrainSighting& it : core_.TakeHeardDrains()) {
       events_.OnHeardDrain(it);
     }
@@ -158,14 +158,14 @@
   return std::exchange(queue_, {});
 }
 
-// The frames that wait now were sent to the process before it was stopped or
-// while it was; the core has to know before it hears them.
-void FleetLoop::NoticeLateWake(TimePoint now) {
-  if (now - last_turn_.load() > options_.late_wake) {
+// Queued frames were sent before or during the suspension of the process, so
+// the core must be informed before it processes them.
+void FleetLoop::DetectLateWake(TimePoint now) {
+  if (now - last_iteration_.load() > options_.late_wake) {
     core_.OnLateWake(now);
     Publish(true);
   }
-  last_turn_ = now;
+  last_iteration_ = now;
 }
 
 void FleetLoop::SendOutbox() {
@@ -183,12 +183,12 @@
 }
 
 void FleetLoop::Publish(bool with_counters) {
-  auto next = std::make_shared<FleetState>(StateOf(core_));
+  auto next = std::make_shared<FleetState>(MakeState(core_));
   bool changed = false;
   {
     const std::lock_guard lock(mutex_);
     next->queue_dropped = queue_dropped_;
-    changed = !SameButCounters(*state_, *next);
+    changed = !EqualExceptCounters(*state_, *next);
     if (changed || with_counters) {
       state_ = next;
     }
--- a/fleet/fleet_loop.h
+++ b/fleet/fleet_loop.h
@@ -17,28 +17,28 @@
 
 struct FleetLoopOptions {
   Duration tick = std::chrono::milliseconds(50);
-  // A longer gap between two turns of the loop means that the process was
-  // stopped; what it believes has to be checked.
+  // A longer gap between two iterations of the loop means that the process was
+  // suspended and its data must be checked.
   Duration late_wake = std::chrono::seconds(1);
-  // Frames and bytes that may wait for the loop.
+  // Maximum number of frames and bytes in the queue of the loop.
   std::size_t queue_frames = 10'000;
   std::size_t queue_bytes = 64'000'000;
 };
 
-// Hears of changes, on the loop's thread; must not block.
+// Receives changes on the loop thread. Implementations must not block.
 class FleetLoopEvents {
  public:
   virtual ~FleetLoopEvents() = default;
 
-  // `state` differs from the last one in documents, refusals, view, reader,
-  // readiness or check.
+  // Called if documents, refusals, view, reader, readiness or check number have
+  // changed.
   virtual void OnFleetState(std::shared_ptr<const FleetState> state) = 0;
-  // A peer has seen this endpoint drain.
+  // A peer has reported that this endpoint is draining.
   virtual void OnHeardDrain(const DrainSighting& sighting) = 0;
 };
 
-// The one thread on which a FleetCore lives. Everything else reaches it by
-// posting; what others may see is published as a FleetState.
+// Runs a FleetCore on a dedicated thread. Other threads access it by posting
+// tasks; its state is published as a FleetState.
 class FleetLoop : public PeerTransportEvents {
  public:
   using Task = std::function<void(FleetCore& core, TimePoint now)>;
@@ -48,17 +48,16 @@
 
   // `transport` must outlive Stop.
   void Start(PeerTransport& transport);
-  // Runs what was posted before it, then ends the thread.
+  // Runs the tasks posted so far, then ends the thread.
   void Stop();
 
-  // Runs `task` on the loop's thread; never dropped.
+  // Runs `task` on the loop thread. Posted tasks are never dropped.
   void Post(Task task);
   std::shared_ptr<const FleetState> state() const;
 
-  // Whether what the loop published may be acted on at `now`: it has been
-  // checked, and the loop has turned a short while ago. A thread that runs
-  // first after the process was stopped gets false before the loop itself has
-  // noticed.
+  // Whether the published state may be used at `now`: a check has succeeded,
+  // and the loop has run recently. After the process was suspended, other
+  // threads get false even before the loop has detected the late wake-up.
   bool IsCurrent(TimePoint now) const;
 
   void OnLinkUp(const std::string& host, std::uint64_t incarnation) override;
@@ -75,7 +74,7 @@
 
   void Run();
   std::deque<Event> WaitForEvents();
-  void NoticeLateWake(TimePoint now);
+  void DetectLateWake(TimePoint now);
   void SendOutbox();
   void UpdateLinks();
   void Publish(bool with_counters);
@@ -85,7 +84,7 @@
   PeerTransport* transport_ = nullptr;
   std::thread thread_;
 
-  // Only the loop's thread uses these.
+  // Only used on the loop thread.
   FleetCore core_;
   std::vector<PeerAddress> links_;
   TimePoint next_tick_;
@@ -98,7 +97,7 @@
   std::uint64_t queue_dropped_ = 0;
   bool stopping_ = false;
   std::shared_ptr<const FleetState> state_;
-  std::atomic<TimePoint> last_turn_ = TimePoint();
+  std::atomic<TimePoint> last_iteration_ = TimePoint();
 };
 
 }  // namespace damasktack
--- a/fleet/fleet_module.h
+++ b/fleet/fleet_module.h
@@ -12,22 +12,22 @@
 
 namespace damasktack {
 
-// Who sent a message: the host and which process of it.
+// The sender of a message: a host and its process.
 struct Sender {
   HostId host;
   Incarnation incarnation = 0;
 };
 
-// Messages to be sent after an event. Any of them may be lost.
+// Collects the messages to be sent after an event. Any of them may be lost.
 class Outbox {
  public:
   struct Item {
     HostId to;
     PeerMessage message;
   };
-  // One message for several hosts, to be encoded once. A copy for each of the
-  // hosts that follow a seed took most of its memory.
-  struct Parcel {
+  // One message for several hosts, encoded once. A separate copy per follower
+  // made up most of the memory of a seed.
+  struct Multicast {
     std::vector<HostId> to;
     PeerMessage message;
   };
@@ -38,11 +38,13 @@
   void SendToAll(std::vector<HostId> to, PeerMessage message) {
     parcels_.push_back({std::move(to), std::move(message)});
   }
-  std::vector<Parcel> TakeParcels() { return std::exchange(parcels_, {}); }
-  // Each host with a copy of its own.
+  std::vector<Multicast> TakeMulticasts() {
+    return std::exchange(parcels_, {});
+  }
+  // Returns one item per receiver, each with its own copy of the message.
   std::vector<Item> Take() {
     std::vector<Item> items;
-    for (const Parcel& parcel : TakeParcels()) {
+    for (const Multicast& parcel : TakeMulticasts()) {
       for (const HostId& it : parcel.to) {
         items.push_back({it, parcel.message});
       }
@@ -51,12 +53,12 @@
   }
 
  private:
-  std::vector<Parcel> parcels_;
+  std::vector<Multicast> parcels_;
 };
 
-// A part of the fleet's behaviour: a pure state machine that the fleet loop
-// feeds. No clock, sockets or threads inside. A module ignores messages that
-// are not its own.
+// A component of the fleet protocol: a pure state machine driven by the fleet
+// loop, without clock, sockets or threads. A module ignores messages of other
+// modules.
 template <typename Module>
 concept FleetModule = requires(Module module,
                                const HostView& view,
--- a/fleet/fleet_state.h
+++ b/fleet/fleet_state.h
@@ -9,12 +9,12 @@
 
 namespace damasktack {
 
-// What other threads see of the fleet: one consistent copy.
+// A consistent snapshot of the fleet state for other threads.
 struct FleetState {
   std::array<std::shared_ptr<const Document>, kDocumentCount> documents;
   std::array<std::optional<DocumentRefusal>, kDocumentCount> refused;
   HostView view;
-  // This host watches the platform for its zone.
+  // Whether this host watches the platform for its zone.
   bool reader = false;
   bool ready = false;
   std::uint64_t check_number = 0;
--- a/fleet/host_view.h
+++ b/fleet/host_view.h
@@ -8,36 +8,36 @@
 
 namespace damasktack {
 
-// One other host as this host sees it.
+// State of another host as seen by this host.
 struct PeerView {
   HostId id;
-  // 0 until the peer has been heard.
+  // 0 until the peer has sent a message.
   Incarnation incarnation = 0;
   ZoneId zone;
-  // kLeaving as soon as the list or the peer itself says so.
+  // kLeaving as soon as the list or the peer itself states it.
   ListedState listed = ListedState::kLive;
-  // A link is up and its heartbeats arrive.
+  // A link is up and heartbeats arrive on it.
   bool reachable = false;
 
   bool operator==(const PeerView&) const = default;
 };
 
-// The fleet as this host sees it. Other hosts may see another one at the same
-// moment; nothing may rest on their being equal.
+// The fleet as seen by this host. Views of different hosts may differ at any
+// moment, so no decision may require them to be equal.
 struct HostView {
-  // Of the "hosts" document behind it; 0 before one was seen.
+  // Revision of the underlying "hosts" document; 0 before the first one.
   Revision revision = 0;
   HostId self;
   Incarnation self_incarnation = 0;
-  // Without this host.
+  // All listed hosts except this one.
   std::vector<PeerView> peers;
-  // Whether the list names this host.
+  // Whether the list contains this host.
   bool listed = false;
   ZoneId self_zone;
-  // This host has begun its graceful stop.
+  // This host has started its graceful stop.
   bool self_leaving = false;
-  // Linked hosts that the list does not name, or not yet. They hold the
-  // fleet's key, so documents are exchanged with them; nothing else is.
+  // Linked hosts that are not, or not yet, in the list. They hold the fleet
+  // key, so documents are exchanged with them, but nothing else.
   std::vector<HostId> unlisted;
 
   bool operator==(const HostView&) const = default;
--- a/fleet/membership.cc
+++ b/fleet/membership.cc
@@ -34,7 +34,8 @@
                         TimePoint now) {
   Peer& peer = peers_[host];
   if (peer.incarnation != incarnation) {
-    // Another process under the same id: what the old one said is void.
+    // A new process under the same ID: state reported by the previous one is
+    // void.
     peer.leaving = false;
     peer.gone = false;
   }
@@ -48,7 +49,7 @@
                           Incarnation incarnation,
                           TimePoint now) {
   const auto it = peers_.find(host);
-  // The end of an old process's link says nothing about the new process.
+  // A closed link of a previous process says nothing about the current one.
   if (it == peers_.end() || it->second.incarnation != incarnation) {
     return;
   }
@@ -84,7 +85,8 @@
     next_heartbeat_ = now + options_.heartbeat;
     SendHeartbeats(out);
   }
-  // Most ticks change nothing; rebuilding the view costs with the fleet.
+  // Most ticks change nothing, and the cost of rebuilding the view grows with
+  // the fleet.
   const bool changed = std::ranges::any_of(peers_, [&](const auto& entry) {
     return IsReachable(entry.second, now) != entry.second.reachable;
   });
@@ -160,7 +162,7 @@
                      leaving ? ListedState::kLeaving : ListedState::kLive,
                      reachable});
   }
-  // Off the list and not linked: nothing is left to know.
+  // Drop peers that are neither listed nor linked.
   std::erase_if(peers_, [](const auto& entry) {
     return !entry.second.spec && !entry.second.linked;
   });
@@ -171,8 +173,9 @@
   }
 }
 
-// To every linked peer: N - 1 small messages an interval for each host. The
-// size where that breaks its budget is in docs/notes/membership.md.
+// Sends a heartbeat to every linked peer: N - 1 small messages per interval and
+// host. The fleet size at which this exceeds its budget is in
+// docs/notes/membership.md.
 void Membership::SendHeartbeats(Outbox& out) {
   for (const HostId& it : Linked()) {
     out.Send(it, Heartbeat{view_.revision, view_.self_leaving});
--- a/fleet/membership.h
+++ b/fleet/membership.h
@@ -14,15 +14,16 @@
 struct MembershipOptions {
   HostId self;
   Incarnation incarnation = 0;
-  // Of this host, by its settings.
+  // Zone of this host from its settings.
   ZoneId zone;
   Duration heartbeat = std::chrono::seconds(1);
-  // A linked peer that was not heard for this long counts as unreachable.
+  // A linked peer that sent no message for this long is unreachable.
   Duration silence = std::chrono::seconds(3);
 };
 
-// Who is in the fleet: merges the platform's list, which lags, with links,
-// heartbeats and goodbyes into a HostView. Pure; the fleet loop feeds it.
+// Merges the host list of the platform, which lags behind, with links,
+// heartbeats and goodbyes into a HostView. It is a pure state machine driven by
+// the fleet loop.
 class Membership {
  public:
   explicit Membership(MembershipOptions options);
@@ -30,27 +31,29 @@
   void SetList(const HostList& list, TimePoint now);
   void LinkUp(const HostId& host, Incarnation incarnation, TimePoint now);
   void LinkDown(const HostId& host, Incarnation incarnation, TimePoint now);
-  // Any message counts as a sign of life. Those of another process than the
-  // linked one are not heard; the result says so.
+  // Records the message as a sign of life of its sender. Returns false for a
+  // message from a process other than the linked one, which is ignored.
   bool OnMessage(const Sender& sender,
                  const PeerMessage& message,
                  TimePoint now);
-  // Sends heartbeats that are due and notices silent peers.
+  // Sends due heartbeats and marks silent peers as unreachable.
   void Tick(TimePoint now, Outbox& out);
-  // This host begins its graceful stop; the next heartbeats say so.
+  // Starts the graceful stop of this host and announces it in a heartbeat at
+  // once.
   void SetLeaving(TimePoint now, Outbox& out);
-  // The last message of this process.
+  // Sends the last message of this process to all linked peers.
   void SayGoodbye(Outbox& out);
-  // The process was stopped for a while: silence while nobody could listen
-  // proves nothing about the peers.
+  // Resets the silence of all peers after this process was suspended: it could
+  // not receive messages meanwhile.
   void OnLateWake(TimePoint now);
 
   const HostView& view() const { return view_; }
-  // Whether the view differs from the one at the last call.
+  // Whether the view has changed since the last call.
   bool TakeChanged();
-  // Listed peers and where to reach them.
+  // Returns the listed peers and their addresses.
   std::vector<PeerAddress> Addresses() const;
-  // Hosts with an open link, whether heard or not.
+  // Returns the hosts with an open link, whether or not they have sent
+  // messages.
   std::vector<HostId> Linked() const;
 
  private:
@@ -61,7 +64,7 @@
     TimePoint last_heard;
     bool leaving = false;
     bool gone = false;
-    // As the view says.
+    // Reachability as stated in the current view.
     bool reachable = false;
   };
 
--- a/fleet/membership_messages.h
+++ b/fleet/membership_messages.h
@@ -9,15 +9,16 @@
 
 namespace damasktack {
 
-// Every message has a kind, a ToJson and a Parse of its own; fields that a
-// newer daemon adds are ignored. fleet/peer_codec.h turns them into CBOR.
+// Every message type has a kKind, a ToJson and a Parse function. Fields added
+// by a newer daemon are ignored. fleet/peer_codec.h encodes the messages as
+// CBOR.
 
 struct Heartbeat {
   static constexpr std::string_view kKind = "heartbeat";
 
-  // Revision of the sender's list of hosts.
+  // Revision of the host list of the sender.
   std::uint64_t hosts_revision = 0;
-  // The sender has begun its graceful stop.
+  // The sender has started its graceful stop.
   bool leaving = false;
 
   Json ToJson() const;
@@ -27,7 +28,7 @@
   bool operator==(const Heartbeat&) const = default;
 };
 
-// The sender's process has finished its work and ends now.
+// Last message of a process: it has finished its work and exits.
 struct Goodbye {
   static constexpr std::string_view kKind = "goodbye";
 
--- a/fleet/message_json.h
+++ b/fleet/message_json.h
@@ -9,11 +9,11 @@
 
 namespace damasktack::detail {
 
-// The most members that a list inside one message may have.
-inline constexpr std::size_t kLongestMessageList = 4096;
+// Maximum number of items of a list inside one message.
+inline constexpr std::size_t kMaxMessageListItems = 4096;
 
-// The longest time in a message, in microseconds: eleven days.
-inline constexpr std::int64_t kLongestMessageTime = 1'000'000'000'000;
+// Maximum duration in a message, in microseconds: eleven days.
+inline constexpr std::int64_t kMaxMessageTimeUs = 1'000'000'000'000;
 
 inline std::int64_t ToMicroseconds(Duration time) {
   return std::chrono::duration_cast<std::chrono::microseconds>(time).count();
@@ -21,7 +21,7 @@
 
 inline void ReadTime(JsonReader& reader, std::string_view key, Duration& out) {
   std::int64_t us = 0;
-  reader.Read(key, us, 0, kLongestMessageTime);
+  reader.Read(key, us, 0, kMaxMessageTimeUs);
   out = std::chrono::microseconds(us);
 }
 
@@ -34,7 +34,7 @@
   return json;
 }
 
-// Reads a list of objects that have a Parse of their own.
+// Reads a list of objects whose type has a Parse function.
 template <typename Item>
 void ReadList(JsonReader& reader,
               std::string_view key,
@@ -43,10 +43,10 @@
   if (json == nullptr) {
     return;
   }
-  if (json->size() > kLongestMessageList) {
+  if (json->size() > kMaxMessageListItems) {
     reader.Refuse(ErrorKind::kTooLarge, key,
                   std::to_string(json->size()) + " members",
-                  "send at most " + std::to_string(kLongestMessageList));
+                  "send at most " + std::to_string(kMaxMessageListItems));
     return;
   }
   const std::string path = reader.PathOf(key);
--- a/fleet/peer_codec.cc
+++ b/fleet/peer_codec.cc
@@ -11,8 +11,8 @@
 
 using Decoded = leaf::result<std::optional<PeerMessage>>;
 
-// Tries the alternatives of PeerMessage one by one, so that listing a type in
-// fleet/peer_message.h is all its registration.
+// Tries the alternatives of PeerMessage in order, so that listing a type in
+// fleet/peer_message.h is enough to register it.
 template <std::size_t index = 0>
 Decoded ParseKind(const std::string& kind, const Json& body) {
   if constexpr (index == std::variant_size_v<PeerMessage>) {
--- a/fleet/peer_codec.h
+++ b/fleet/peer_codec.h
@@ -12,22 +12,23 @@
 
 namespace damasktack {
 
-// Raised only where an older daemon would misread a message; a new field or a
-// new kind needs no new version, because both are ignored where not known.
+// Only increased if an older daemon would misinterpret a message. New fields
+// and kinds need no new version because unknown ones are ignored.
 inline constexpr std::uint64_t kPeerProtocolVersion = 1;
-// The largest document and its envelope.
+// The maximum document size plus its envelope.
 inline constexpr std::size_t kLargestPeerFrame = kLargestDocument + 4096;
 
-// One frame: a CBOR map {v: version, kind: string, body: map}.
+// Encodes a message as one frame: a CBOR map {v: version, kind: string, body:
+// map}.
 std::string EncodePeerMessage(const PeerMessage& message);
 
-// Null where the kind is not known here or the version is newer: the message
-// is then ignored. Malformed bytes are errors: kProtocol, kTooLarge, or the
-// kinds of core/json_reader.h for a member that is missing or wrong.
+// Decodes a frame. Returns null if the kind is unknown or the version is newer;
+// such a message must be ignored. Errors for malformed frames: kProtocol,
+// kTooLarge, or the kinds of core/json_reader.h for a missing or wrong member.
 leaf::result<std::optional<PeerMessage>> DecodePeerMessage(
     std::string_view frame);
 
-// The kind that a message travels under.
+// Returns the kind under which a message is sent.
 std::string_view KindOf(const PeerMessage& message);
 
 }  // namespace damasktack
--- a/fleet/peer_message.h
+++ b/fleet/peer_message.h
@@ -14,8 +14,8 @@
 
 namespace damasktack {
 
-// Everything one daemon says to another. The one place that lists the kinds;
-// each is defined beside the module that speaks it.
+// All messages between daemons. This is the only list of message types; each
+// type is defined next to the module that sends it.
 using PeerMessage = std::variant<Heartbeat,
                                  Goodbye,
                                  DocumentDigest,
--- a/fleet/platform_reader.cc
+++ b/fleet/platform_reader.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr Duration kStopPoll = std::chrono::milliseconds(5);
+constexpr Duration kStopPollInterval = std::chrono::milliseconds(5);
 
 }  // namespace
 
@@ -46,10 +46,11 @@
     stopping_ = true;
   }
   changed_.notify_all();
-  // A call that has not connected yet does not hear of the first stop.
+  // Interrupt repeatedly: a call that has not connected yet misses the first
+  // interruption.
   while (running_ > 0) {
     source_.Interrupt();
-    std::this_thread::sleep_for(kStopPoll);
+    std::this_thread::sleep_for(kStopPollInterval);
   }
   for (Slot& it : slots_) {
     if (it.thread.joinable()) {
@@ -88,7 +89,7 @@
     check_ = check;
     for (Slot& it : slots_) {
       it.schedule.ReadSoon(Clock::now());
-      it.plain_read = true;
+      it.unconditional = true;
     }
   }
   source_.Interrupt();
@@ -103,13 +104,13 @@
 void PlatformReader::Run(DocumentName name) {
   Slot& slot = SlotOf(name);
   std::unique_lock lock(mutex_);
-  while (WaitForTurn(lock, slot)) {
+  while (WaitForRead(lock, slot)) {
     ReadOnce(lock, name, slot);
   }
   --running_;
 }
 
-bool PlatformReader::WaitForTurn(std::unique_lock<std::mutex>& lock,
+bool PlatformReader::WaitForRead(std::unique_lock<std::mutex>& lock,
                                  Slot& slot) {
   while (!stopping_) {
     const TimePoint now = Clock::now();
@@ -131,59 +132,62 @@
                               DocumentName name,
                               Slot& slot) {
   Result result;
-  // A host that is no reader does not hold a watch open.
-  result.plain_read = std::exchange(slot.plain_read, false) || !reader_;
-  const Revision after = std::max(slot.known, slot.handed_out);
+  // Only readers keep a watch open.
+  result.unconditional = std::exchange(slot.unconditional, false) || !reader_;
+  const Revision after = std::max(slot.known, slot.returned_revision);
   const std::uint64_t check = check_;
   ++counters_.reads;
   lock.unlock();
   const TimePoint began = Clock::now();
   result.document =
-      Try([&] { return Ask(name, result.plain_read, after); },
+      Try([&] { return Request(name, result.unconditional, after); },
           [&](const Error& error) {
             result.reached = false;
             spdlog::debug("event=platform-read-failed {}", ToString(error));
             return std::optional<Document>();
           });
   const TimePoint ended = Clock::now();
-  result.took = ended - began;
+  result.duration = ended - began;
   if (result.document) {
     events_.OnDocument(*result.document);
   }
   events_.OnAsked(name, check);
   lock.lock();
-  Note(slot, result, ended);
+  RecordResult(slot, result, ended);
 }
 
-leaf::result<std::optional<Document>> PlatformReader::Ask(DocumentName name,
-                                                          bool plain_read,
-                                                          Revision after) {
-  if (!plain_read) {
+leaf::result<std::optional<Document>>
+PlatformReader::Request(DocumentName name, bool unconditional, Revision after) {
+  if (!unconditional) {
     return source_.Watch(name, after, options_.watch);
   }
   BOOST_LEAF_AUTO(document, source_.Read(name, options_.read_timeout));
   return std::optional<Document>(std::move(document));
 }
 
-// A platform that came back from an old copy hands out older revisions, a
-// broken one answers watches at once, and a refused value stays the newest one
-// until somebody publishes again. None of them may turn the watch into a busy
-// loop: the next watch waits for a revision above the one handed out, and an
-// answer that brings nothing new counts like a failure for the time of the next
-// read. A value that was handed out and did not come into force, perhaps
-// because it was cut short on its way, is read again after one quiet watch.
-void PlatformReader::Note(Slot& slot, const Result& result, TimePoint now) {
+// A platform restored from an old copy returns older revisions, a faulty one
+// answers watches at once, and a rejected value stays the newest one until
+// another is published. None of these cases may turn the watch into a busy
+// loop: the next watch waits for a revision above the one returned, and a
+// response without a new value counts as a failure when the next read is
+// scheduled. A value that was returned but did not become current, for example
+// because it was truncated in transit, is read again after one watch without a
+// change.
+void PlatformReader::RecordResult(Slot& slot,
+                                  const Result& result,
+                                  TimePoint now) {
   counters_.failures += result.reached ? 0 : 1;
-  const bool repeated =
-      result.document && result.document->revision <= slot.handed_out;
-  const bool hasty =
-      result.reached && !result.document && result.took < options_.watch / 2;
+  const bool is_repeated =
+      result.document && result.document->revision <= slot.returned_revision;
+  const bool is_early = result.reached && !result.document &&
+                        result.duration < options_.watch / 2;
   if (result.document) {
-    slot.handed_out = std::max(slot.handed_out, result.document->revision);
-  } else if (result.reached && slot.handed_out > slot.known) {
-    slot.plain_read = true;
+    slot.returned_revision =
+        std::max(slot.returned_revision, result.document->revision);
+  } else if (result.reached && slot.returned_revision > slot.known) {
+    slot.unconditional = true;
   }
-  if (result.reached && !repeated && !hasty) {
+  if (result.reached && !is_repeated && !is_early) {
     slot.schedule.Answered(now);
   } else {
     slot.schedule.Failed(now);
--- a/fleet/platform_reader.h
+++ b/fleet/platform_reader.h
@@ -16,34 +16,34 @@
 
 struct PlatformReaderOptions {
   ReadScheduleOptions schedule;
-  // How long one watch waits at the platform.
+  // Maximum duration of one watch.
   Duration watch = std::chrono::seconds(20);
   Duration read_timeout = std::chrono::seconds(2);
-  // Reads and watches a second that all hosts together may send.
+  // Maximum rate of reads and watches of all hosts together.
   double reads_per_second = 200;
 };
 
 struct PlatformReaderCounters {
   std::uint64_t reads = 0;
   std::uint64_t failures = 0;
-  // Waits for the budget.
+  // Number of waits for the read budget.
   std::uint64_t throttled = 0;
 };
 
-// Hears what the platform said; on the reader's threads.
+// Receives the responses of the platform, on the threads of the reader.
 class PlatformReaderEvents {
  public:
   virtual ~PlatformReaderEvents() = default;
 
   virtual void OnDocument(Document document) = 0;
-  // The platform was asked and answered, or failed; after OnDocument. `check`
-  // is the one that was current when the question went out.
+  // The platform has answered, or the read has failed; called after OnDocument.
+  // `check` is the check that was current when the request was sent.
   virtual void OnAsked(DocumentName name, std::uint64_t check) = 0;
 };
 
-// Reads the platform's documents while this host is a reader, and rarely
-// otherwise, within its part of the fleet's budget. One thread a document,
-// because a watch waits.
+// Reads the documents of the platform, continuously while this host is a reader
+// and rarely otherwise, within its share of the read budget of the fleet. Uses
+// one thread per document because a watch blocks.
 class PlatformReader {
  public:
   PlatformReader(PlatformReaderOptions options,
@@ -53,15 +53,16 @@
   ~PlatformReader();
 
   void Start();
-  // Ends waiting calls and the threads.
+  // Interrupts pending calls and ends the threads.
   void Stop();
 
   void SetReader(bool reader);
   void SetHosts(std::size_t hosts);
-  // The revision in force; what the platform has above it is news.
+  // Sets the current revision of a document; only newer revisions of the
+  // platform are changes.
   void SetKnown(DocumentName name, Revision revision);
-  // Reads all documents soon and unconditionally, under this check's number;
-  // watches that wait are cut short.
+  // Reads all documents soon and unconditionally under the given check number;
+  // interrupts pending watches.
   void ReadSoon(std::uint64_t check);
 
   PlatformReaderCounters counters() const;
@@ -72,31 +73,34 @@
 
     ReadSchedule schedule;
     Revision known = 0;
-    // The highest that the platform handed out, in force or not.
-    Revision handed_out = 0;
-    // The next read asks for the value as it stands.
-    bool plain_read = true;
+    // The highest revision returned by the platform, whether or not it became
+    // current.
+    Revision returned_revision = 0;
+    // The next read requests the current value instead of watching for a newer
+    // one.
+    bool unconditional = true;
     std::thread thread;
   };
 
   void Run(DocumentName name);
-  // Waits until a read is due and paid for; false where the reader stops.
-  bool WaitForTurn(std::unique_lock<std::mutex>& lock, Slot& slot);
+  // Waits until a read is due and within budget; returns false if the reader
+  // stops.
+  bool WaitForRead(std::unique_lock<std::mutex>& lock, Slot& slot);
   void ReadOnce(std::unique_lock<std::mutex>& lock,
                 DocumentName name,
                 Slot& slot);
-  leaf::result<std::optional<Document>> Ask(DocumentName name,
-                                            bool plain_read,
-                                            Revision after);
-  // What one read came to.
+  leaf::result<std::optional<Document>> Request(DocumentName name,
+                                                bool unconditional,
+                                                Revision after);
+  // The result of one read.
   struct Result {
     bool reached = true;
     std::optional<Document> document;
-    Duration took{};
-    bool plain_read = false;
+    Duration duration{};
+    bool unconditional = false;
   };
 
-  void Note(Slot& slot, const Result& result, TimePoint now);
+  void RecordResult(Slot& slot, const Result& result, TimePoint now);
   Slot& SlotOf(DocumentName name) {
     return slots_[static_cast<std::size_t>(name)];
   }
--- a/fleet/platform_source.h
+++ b/fleet/platform_source.h
@@ -9,18 +9,20 @@
 
 namespace damasktack {
 
-// The platform's configuration service: read and watch, never write.
+// Reads and watches the documents of the configuration service of the platform;
+// never writes.
 class PlatformSource {
  public:
   virtual ~PlatformSource() = default;
 
-  // The value as it stands.
+  // Reads the current value.
   virtual leaf::result<Document> Read(DocumentName name, Duration timeout) = 0;
-  // Waits up to `wait` for a revision above `after`; null where none came.
+  // Waits up to `wait` for a revision above `after`; returns null if there was
+  // none.
   virtual leaf::result<std::optional<Document>> Watch(DocumentName name,
                                                       Revision after,
                                                       Duration wait) = 0;
-  // Makes calls that are waiting now fail at once.
+  // Makes pending calls fail at once.
   virtual void Interrupt() = 0;
 };
 
--- a/fleet/published_feed.cc
+++ b/fleet/published_feed.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Where nothing is due a host looks again after this.
+// Bounds of the wait when no step is due.
 constexpr Duration kLongestWait = std::chrono::seconds(1);
 constexpr Duration kShortestWait = std::chrono::milliseconds(1);
 
@@ -25,42 +25,43 @@
                              std::uint64_t random_seed)
     : options_(std::move(options)),
       random_(random_seed),
-      awaits_copy_(options_.early_read) {
-  FindRank();
+      is_early_read_pending_(options_.early_read) {
+  UpdateRank();
 }
 
-void PublishedFeed::FindRank() {
+void PublishedFeed::UpdateRank() {
   const auto own = std::ranges::find(options_.seeds, options_.address);
   rank_ = own == options_.seeds.end() ? FeedHello::kNoSeed
                                       : own - options_.seeds.begin();
   peers_.SetRank(rank_);
-  seating_.SetRank(IsSeed() ? std::optional(rank_) : std::nullopt,
+  numbers_.SetRank(IsSeed() ? std::optional(rank_) : std::nullopt,
                    static_cast<std::int64_t>(options_.seeds.size()));
   const std::string& name = options_.self.text();
   constexpr unsigned kRankBits = 20;
-  const auto drawn = XXH3_64bits(name.data(), name.size()) ^ random_();
-  own_number_ = (static_cast<std::uint64_t>(rank_) << (64U - kRankBits)) |
-                (drawn >> kRankBits);
+  const auto random_bits = XXH3_64bits(name.data(), name.size()) ^ random_();
+  own_reader_id_ = (static_cast<std::uint64_t>(rank_) << (64U - kRankBits)) |
+                   (random_bits >> kRankBits);
 }
 
 void PublishedFeed::SetSeeds(std::vector<SocketAddress> seeds) {
   options_.seeds = std::move(seeds);
-  FindRank();
-  // Peers have to hear of the new rank.
-  peers_.GreetAnew();
+  UpdateRank();
+  // Peers need a new hello because it carries the rank.
+  peers_.ResetHellos();
 }
 
 Duration PublishedFeed::StaleAfter() const {
   return !IsSeed() ? options_.stale : options_.seed_stale;
 }
 
-TimePoint PublishedFeed::StartDue() const {
-  if (copied_at_) {
-    return std::min<TimePoint>(*copied_at_ + options_.copy_patience,
-                               *started_at_ + options_.longest_start);
+TimePoint PublishedFeed::FirstReadDue() const {
+  if (early_read_done_at_) {
+    return std::min<TimePoint>(
+        *early_read_done_at_ + options_.copy_feed_timeout,
+        *started_at_ + options_.max_start_wait);
   }
-  return *started_at_ +
-         (view_.routes() ? options_.copy_patience : options_.start_patience);
+  return *started_at_ + (view_.routes() ? options_.copy_feed_timeout
+                                        : options_.start_patience);
 }
 
 std::optional<Duration> PublishedFeed::Age(TimePoint now) const {
@@ -72,7 +73,7 @@
 
 bool PublishedFeed::IsStale(TimePoint now) const {
   if (!confirmed_at_) {
-    return now >= StartDue();
+    return now >= FirstReadDue();
   }
   return now - *confirmed_at_ >= StaleAfter();
 }
@@ -84,17 +85,17 @@
 void PublishedFeed::Confirm(TimePoint at, std::uint64_t reader) {
   if (!confirmed_at_ || *confirmed_at_ < at) {
     confirmed_at_ = at;
-    confirmed_to_ = reader;
+    confirmed_by_reader_ = reader;
   }
 }
 
-FeedStep PublishedFeed::Next(TimePoint now) {
+FeedStep PublishedFeed::NextStep(TimePoint now) {
   if (!started_at_) {
     started_at_ = now;
     next_call_ = now;
   }
   view_.Advance(now);
-  if (const std::optional<FeedStep> step = EarlyRead()) {
+  if (const std::optional<FeedStep> step = NextEarlyRead()) {
     return *step;
   }
   const bool reads = ShouldRead(now);
@@ -102,19 +103,21 @@
     reads_store_ = reads;
     BeginReading(now);
   }
-  HoldToOutage(now);
-  Duration wait =
-      reads_store_ && lost_contact_ ? options_.outage_word : kLongestWait;
+  LimitOutageWait(now);
+  Duration wait = reads_store_ && lost_contact_
+                      ? options_.outage_notice_interval
+                      : kLongestWait;
   if (const auto next = view_.NextChange()) {
     wait = std::min<Duration>(wait, *next - now);
   }
   if (!reads_store_) {
     const TimePoint due =
-        confirmed_at_ ? *confirmed_at_ + StaleAfter() : StartDue();
+        confirmed_at_ ? *confirmed_at_ + StaleAfter() : FirstReadDue();
     wait = std::min<Duration>(wait, due - now);
-    const TimePoint missed = UnfedSince(now);
-    wait = std::min<Duration>(
-        wait, now < missed ? missed - now : options_.seed_patience);
+    const TimePoint missing_since = FeedMissingSince(now);
+    wait =
+        std::min<Duration>(wait, now < missing_since ? missing_since - now
+                                                     : options_.seed_timeout);
     return {FeedStep::Kind::kWait, std::max(wait, kShortestWait)};
   }
   if (now < next_call_) {
@@ -130,41 +133,44 @@
           std::clamp<Duration>(wait, kShortestWait, options_.watch)};
 }
 
-// The first seed reads all anyway, and others wait for it.
-std::optional<FeedStep> PublishedFeed::EarlyRead() {
-  if (awaits_copy_ && !part_) {
+// The first seed skips the endpoint read: it performs a full read right away,
+// and the other hosts wait for its update.
+std::optional<FeedStep> PublishedFeed::NextEarlyRead() {
+  if (is_early_read_pending_ && !early_part_) {
     ++counters_.reads;
     return FeedStep{FeedStep::Kind::kReadPart, options_.start_patience};
   }
-  if (awaits_copy_ && rank_ != 0) {
+  if (is_early_read_pending_ && rank_ != 0) {
     return FeedStep{FeedStep::Kind::kReadEndpoints, options_.start_patience};
   }
-  awaits_copy_ = false;
+  is_early_read_pending_ = false;
   return std::nullopt;
 }
 
-// Of several hosts that read for seeds the one with the lowest number goes on.
+// If several hosts read on behalf of seeds, only the one with the lowest reader
+// ID continues.
 bool PublishedFeed::ShouldRead(TimePoint now) const {
   if (rank_ == 0) {
     return true;
   }
   if (IsFed(now)) {
-    return reads_store_ && has_helped_ && fed_by_ > own_number_;
+    return reads_store_ && has_updated_feeder_ &&
+           fed_by_reader_ > own_reader_id_;
   }
   return reads_store_ || IsStale(now);
 }
 
 void PublishedFeed::BeginReading(TimePoint now) {
   is_synced_ = false;
-  has_helped_ = false;
+  has_updated_feeder_ = false;
   backoff_ = Duration::zero();
   next_call_ = now;
-  if (!IsSeed() && KnowsOfOutage(now)) {
+  if (!IsSeed() && IsOutageReported(now)) {
     next_call_ =
         now + UpTo(OutageInterval() - options_.longest_follower_backoff);
   }
   if (!reads_store_) {
-    peers_.ForgetOutages();
+    peers_.ClearOutages();
   }
   spdlog::info("event=store-reader reads={} rank={} revision={}", reads_store_,
                rank_, view_.revision());
@@ -172,47 +178,49 @@
 
 Duration PublishedFeed::OutageInterval() const {
   return std::max<Duration>(options_.longest_follower_backoff,
-                            options_.outage_share * told_hosts_);
+                            options_.outage_call_spacing * reported_hosts_);
 }
 
-// The seed that asked for this host is gone: from now on it asks itself.
-void PublishedFeed::HoldToOutage(TimePoint now) {
-  if (!IsSeed() && !KnowsOfOutage(now)) {
+// Shortens the wait of an outage interval once no seed reports the outage any
+// longer: the seed that retried on behalf of this host is gone, so this host
+// retries by itself.
+void PublishedFeed::LimitOutageWait(TimePoint now) {
+  if (!IsSeed() && !IsOutageReported(now)) {
     const Duration longest = 2 * options_.longest_follower_backoff;
     next_call_ = std::min(next_call_, now + longest);
   }
 }
 
-// What a host that is fed lost itself says nothing: a seed that the store
-// turned away, and that another seed fed, would have its hosts keep removed
-// endpoints for longer.
+// While this host is fed, only the feeder knows whether the store was
+// unreachable. Otherwise a seed that the store rejects, but that another seed
+// feeds, would make its followers keep removed endpoints longer.
 bool PublishedFeed::IsAfterOutage(TimePoint now) const {
   if (IsFed(now)) {
     return feeder_after_outage_;
   }
-  return lost_contact_ ||
-         (regained_at_ && now - *regained_at_ < options_.after_outage);
+  return lost_contact_ || (store_regained_at_ &&
+                           now - *store_regained_at_ < options_.after_outage);
 }
 
-// After a loss of power all hosts read all endpoints at once, and each of them
-// refuses its calls or lets them wait meanwhile. By a part a host can serve,
-// where it names some endpoints of each service.
+// After a power loss all hosts read all endpoints at once and would reject or
+// queue their requests until the read ends. The partial result is enough to
+// serve requests if it contains some endpoints of each service.
 void PublishedFeed::OnReadPart(PublishedItems part, TimePoint now) {
-  if (ServesEachRoute(part)) {
-    view_.TakeSome(part, now);
+  if (HasEndpointsForEachService(part)) {
+    view_.ApplyPartialRead(part, now);
   }
-  part_ = std::move(part);
+  early_part_ = std::move(part);
 }
 
-// Confirms nothing: the copy may be old.
+// Does not confirm the data: the replica may be stale.
 void PublishedFeed::OnReadEndpoints(PublishedItems all, TimePoint now) {
-  awaits_copy_ = false;
-  copied_at_ = now;
-  if (part_) {
-    all.current = std::min(all.current, part_->current);
-    std::ranges::copy_if(part_->items, std::back_inserter(all.items),
-                         IsOfOperator);
-    part_.reset();
+  is_early_read_pending_ = false;
+  early_read_done_at_ = now;
+  if (early_part_) {
+    all.current = std::min(all.current, early_part_->current);
+    std::ranges::copy_if(early_part_->items, std::back_inserter(all.items),
+                         IsOperatorItem);
+    early_part_.reset();
   }
   view_.TakeAll(all, false, now);
 }
@@ -222,25 +230,25 @@
   is_synced_ = true;
   backoff_ = Duration::zero();
   if (std::exchange(lost_contact_, false)) {
-    regained_at_ = now;
+    store_regained_at_ = now;
     spdlog::info("event=store-regained revision={}", view_.revision());
   }
-  Confirm(now, own_number_);
+  Confirm(now, own_reader_id_);
 }
 
 void PublishedFeed::OnWatched(const PublishedItems& changes, TimePoint now) {
   view_.TakeChanges(changes, IsAfterOutage(now), now);
-  Confirm(now, own_number_);
+  Confirm(now, own_reader_id_);
   if (!changes.items.empty()) {
     next_call_ = now + options_.gather;
   }
 }
 
 void PublishedFeed::OnFailure(const Error& error, TimePoint now) {
-  awaits_copy_ = false;
+  is_early_read_pending_ = false;
   is_synced_ = false;
   ++counters_.failures;
-  // Old changes were dropped; that is no loss of contact.
+  // The store has compacted its history; the store itself was reached.
   if (error.kind == ErrorKind::kStale) {
     spdlog::info("event=store-history-lost revision={}", view_.revision());
     return;
@@ -253,7 +261,7 @@
 }
 
 Duration PublishedFeed::NextBackoff(TimePoint now) {
-  if (!IsSeed() && KnowsOfOutage(now)) {
+  if (!IsSeed() && IsOutageReported(now)) {
     return Jittered(OutageInterval());
   }
   const Duration longest =
@@ -262,14 +270,14 @@
   return Jittered(backoff_);
 }
 
-FleetSeat PublishedFeed::Seat(TimePoint now) const {
+FleetSeat PublishedFeed::HostNumber(TimePoint now) const {
   const bool is_settled =
-      started_at_ && now - *started_at_ >= options_.seat_settling;
-  return is_settled ? seating_.Own(now) : FleetSeat();
+      started_at_ && now - *started_at_ >= options_.number_settling_time;
+  return is_settled ? numbers_.OwnNumber(now) : FleetSeat();
 }
 
-// From half of it to one and a half, so that hosts that lost the store together
-// do not come back together.
+// Returns a random duration between half and one and a half times `time`, so
+// that hosts that lost the store together do not retry together.
 Duration PublishedFeed::Jittered(Duration time) {
   return time / 2 + UpTo(time);
 }
@@ -281,49 +289,49 @@
 
 FeedHello PublishedFeed::Hello(TimePoint now) const {
   return {rank_, options_.address, view_.revision(), peers_.CountFollowers(),
-          seating_.Own(now)};
+          numbers_.OwnNumber(now)};
 }
 
 std::int64_t PublishedFeed::KnownHosts() const {
-  const bool is_head = reads_store_ && IsSeed();
-  return is_head ? peers_.CountHosts() : told_hosts_;
+  const bool is_store_reader = reads_store_ && IsSeed();
+  return is_store_reader ? peers_.CountHosts() : reported_hosts_;
 }
 
 void PublishedFeed::OnLinkUp(const HostId& host, TimePoint now, Outbox& out) {
   peers_.OnLinkUp(host);
-  seating_.OnLinkUp(host);
-  Greet(now, out);
+  numbers_.OnLinkUp(host);
+  SendPendingHellos(now, out);
 }
 
-// A host that reads a copy says hello when it has it: told before what it has,
-// its seed would send it all of that.
-void PublishedFeed::Greet(TimePoint now, Outbox& out) {
-  if (awaits_copy_) {
+// A host in its early read delays the hello until the read ends. Sent earlier,
+// the hello would state revision 0 and the seed would send the full data.
+void PublishedFeed::SendPendingHellos(TimePoint now, Outbox& out) {
+  if (is_early_read_pending_) {
     return;
   }
-  for (const HostId& it : peers_.TakeUngreeted()) {
+  for (const HostId& it : peers_.TakePeersWithoutHello()) {
     out.Send(it, Hello(now));
   }
 }
 
 void PublishedFeed::OnLinkDown(const HostId& host, TimePoint now) {
   peers_.OnLinkDown(host);
-  seating_.OnLinkDown(host, now);
+  numbers_.OnLinkDown(host, now);
 }
 
-bool PublishedFeed::HasNewsFor(const FeedPeer& peer) const {
+bool PublishedFeed::NeedsUpdate(const FeedPeer& peer) const {
   const bool is_behind = peer.sent < view_.revision();
   const bool is_older = peer.sent_confirmed < *confirmed_at_;
   if (peers_.Follows(peer)) {
     return is_behind || is_older;
   }
   return peers_.IsFeeder(peer) && peer.outage_at &&
-         (is_behind || (is_older && IsReadingWell()));
+         (is_behind || (is_older && HasOwnConfirmation()));
 }
 
-bool PublishedFeed::KnowsOfOutage(TimePoint now) const {
+bool PublishedFeed::IsOutageReported(TimePoint now) const {
   return view_.routes() &&
-         peers_.HaveWordOfOutage(options_.outage_word_holds, now);
+         peers_.AnyReportsOutage(options_.outage_notice_validity, now);
 }
 
 void PublishedFeed::OnMessage(const HostId& host,
@@ -331,23 +339,23 @@
                               TimePoint now,
                               Outbox& out) {
   if (const auto* hello = std::get_if<FeedHello>(&message)) {
-    TakeHello(host, *hello, now, out);
-  } else if (const auto* given = std::get_if<FeedSeat>(&message)) {
-    seating_.OnSeat(host, given->seat);
+    OnHello(host, *hello, now, out);
+  } else if (const auto* assigned = std::get_if<FeedSeat>(&message)) {
+    numbers_.OnNumberAssigned(host, assigned->seat);
   } else if (const auto* update = std::get_if<FeedUpdate>(&message)) {
-    Take(host, *update, {}, now, out);
+    OnUpdate(host, *update, {}, now, out);
   } else if (const auto* part = std::get_if<FeedPart>(&message)) {
-    TakePart(host, *part, now, out);
+    OnPart(host, *part, now, out);
   } else if (const auto* outage = std::get_if<FeedOutage>(&message)) {
     peers_.at(host).outage_at = now;
-    told_hosts_ = outage->hosts > 0 ? outage->hosts : told_hosts_;
+    reported_hosts_ = outage->hosts > 0 ? outage->hosts : reported_hosts_;
   }
 }
 
-void PublishedFeed::TakeHello(const HostId& host,
-                              const FeedHello& hello,
-                              TimePoint now,
-                              Outbox& out) {
+void PublishedFeed::OnHello(const HostId& host,
+                            const FeedHello& hello,
+                            TimePoint now,
+                            Outbox& out) {
   FeedPeer& peer = peers_.at(host);
   peer.hello = hello;
   peer.sent = hello.revision;
@@ -356,38 +364,38 @@
   if (peers_.Follows(peer) && confirmed_at_ && is_behind) {
     SendUpdate({host}, peer.sent, now, out);
   }
-  seating_.HearSeats(hello.seat.seats);
+  numbers_.RaiseNumberLimit(hello.seat.seats);
   if (IsSeed() && !peer.IsSeed()) {
-    const FleetSeat seat =
-        seating_.SeatOf(host, hello.seat, peers_.MostFollowersElsewhere(), now);
+    const FleetSeat seat = numbers_.AssignNumber(
+        host, hello.seat, peers_.MaxFollowersOfOtherSeeds(), now);
     if (seat != hello.seat) {
       out.Send(host, FeedSeat{seat});
     }
   }
 }
 
-void PublishedFeed::TakePart(const HostId& host,
-                             const FeedPart& part,
-                             TimePoint now,
-                             Outbox& out) {
+void PublishedFeed::OnPart(const HostId& host,
+                           const FeedPart& part,
+                           TimePoint now,
+                           Outbox& out) {
   FeedTransfer& transfer = peers_.at(host).transfer;
-  if (transfer.Continues(part, options_.part_patience, now)) {
-    Take(host, part.update, part.range, now, out);
+  if (transfer.Continues(part, options_.part_timeout, now)) {
+    OnUpdate(host, part.update, part.range, now, out);
   } else if (part.range.IsLast()) {
     out.Send(host, Hello(now));
   }
 }
 
-void PublishedFeed::Take(const HostId& host,
-                         const FeedUpdate& update,
-                         const EndpointRange& range,
-                         TimePoint now,
-                         Outbox& out) {
+void PublishedFeed::OnUpdate(const HostId& host,
+                             const FeedUpdate& update,
+                             const EndpointRange& range,
+                             TimePoint now,
+                             Outbox& out) {
   ++counters_.updates_received;
-  // Changes between are missing: a frame was dropped, or a part of them is
-  // still to come.
+  // Changes are missing in between: a frame was dropped, or a part of an update
+  // has not arrived yet.
   if (update.after > view_.revision()) {
-    if (!peers_.at(host).transfer.IsUnderWay(now)) {
+    if (!peers_.at(host).transfer.IsInProgress(now)) {
       out.Send(host, Hello(now));
     }
     return;
@@ -395,7 +403,7 @@
   view_.TakePart(range, update.changes,
                  update.whole ? &update.present : nullptr, update.after_outage,
                  now);
-  if (view_.TakeMissesBook()) {
+  if (view_.TakeNeedsFullBook()) {
     peers_.at(host).transfer = {};
     FeedHello hello = Hello(now);
     hello.revision = 0;
@@ -405,24 +413,24 @@
   if (!range.IsLast()) {
     return;
   }
-  // One that knows less than this host confirms nothing.
+  // A feeder with older data than this host confirms nothing.
   if (update.changes.current < view_.revision()) {
     return;
   }
   FeedPeer& peer = peers_.at(host);
   if (peers_.IsFeeder(peer)) {
-    told_hosts_ = update.hosts;
+    reported_hosts_ = update.hosts;
   }
-  // A seed that this host reads for says it again, later by the time that
-  // messages travel. Taken for another's, it had the only reader stop.
-  if (update.reader == own_number_) {
+  // A seed that received this confirmation from this host may echo it, later by
+  // the message latency. Counting the echo as feeding stopped the only reader.
+  if (update.reader == own_reader_id_) {
     return;
   }
   const TimePoint confirmed = now - update.age;
   Confirm(confirmed, update.reader);
   if (!fed_at_ || *fed_at_ < confirmed) {
     fed_at_ = confirmed;
-    fed_by_ = update.reader;
+    fed_by_reader_ = update.reader;
   }
   peer.fed_at = std::max(peer.fed_at.value_or(confirmed), confirmed);
   peer.sent = std::max(peer.sent, update.changes.current);
@@ -440,7 +448,7 @@
   update.present = std::move(part.present);
   update.after_outage = IsAfterOutage(now);
   update.hosts = KnownHosts();
-  update.reader = confirmed_to_;
+  update.reader = confirmed_by_reader_;
   update.age = std::max<Duration>(now - *confirmed_at_, Duration::zero());
   return update;
 }
@@ -458,7 +466,7 @@
   EndpointRange range;
   do {
     PublishedPart part =
-        view_.PartAfter(after, range.end, options_.most_part_entries, now);
+        view_.PartAfter(after, range.end, options_.max_part_entries, now);
     range = part.range;
     FeedUpdate update = MakeUpdate(after, std::move(part), now);
     if (range.IsFirst() && range.IsLast()) {
@@ -469,19 +477,20 @@
   } while (!range.IsLast());
 }
 
-void PublishedFeed::Feed(TimePoint now, Outbox& out) {
-  Greet(now, out);
+void PublishedFeed::SendUpdates(TimePoint now, Outbox& out) {
+  SendPendingHellos(now, out);
   KeepLinksAlive(now, out);
-  TellOutage(now, out);
+  SendOutageNotices(now, out);
   if (!confirmed_at_) {
     return;
   }
-  // Nearly all peers have the same already, and get the same update.
+  // Peers at the same revision share one update; nearly all peers are at the
+  // same one.
   std::map<Revision, std::vector<HostId>> behind;
   for (const auto& [host, peer] : peers_.all()) {
-    if (HasNewsFor(peer)) {
+    if (NeedsUpdate(peer)) {
       behind[peer.sent].push_back(host);
-      has_helped_ = has_helped_ || peers_.IsFeeder(peer);
+      has_updated_feeder_ = has_updated_feeder_ || peers_.IsFeeder(peer);
     }
   }
   for (auto& [after, hosts] : behind) {
@@ -489,23 +498,23 @@
   }
 }
 
-void PublishedFeed::TellOutage(TimePoint now, Outbox& out) {
-  const bool asks_in_vain = reads_store_ && lost_contact_;
-  const bool is_concerned =
-      IsSeed() && !IsFed(now) && (asks_in_vain || KnowsOfOutage(now));
-  if (!is_concerned || now < next_outage_word_) {
+void PublishedFeed::SendOutageNotices(TimePoint now, Outbox& out) {
+  const bool is_cut_off = reads_store_ && lost_contact_;
+  const bool has_notice =
+      IsSeed() && !IsFed(now) && (is_cut_off || IsOutageReported(now));
+  if (!has_notice || now < next_outage_notice_) {
     return;
   }
-  next_outage_word_ = now + options_.outage_word;
+  next_outage_notice_ = now + options_.outage_notice_interval;
   out.SendToAll(peers_.Followers(), FeedOutage{KnownHosts()});
 }
 
-TimePoint PublishedFeed::UnfedSince(TimePoint now) const {
+TimePoint PublishedFeed::FeedMissingSince(TimePoint now) const {
   return fed_at_ ? *fed_at_ + options_.stale / 2 : started_at_.value_or(now);
 }
 
 void PublishedFeed::KeepLinksAlive(TimePoint now, Outbox& out) {
-  if (awaits_copy_ || now < next_hello_) {
+  if (is_early_read_pending_ || now < next_hello_) {
     return;
   }
   next_hello_ = now + options_.hello;
@@ -518,28 +527,29 @@
 
 std::vector<SocketAddress> PublishedFeed::WantedSeeds(TimePoint now) const {
   if (IsSeed()) {
-    // A seed follows those before it.
+    // A seed follows the seeds of lower rank.
     return {options_.seeds.begin(), options_.seeds.begin() + rank_};
   }
   std::vector<SocketAddress> seeds =
-      InOrderFor(options_.self, options_.address, options_.seeds);
-  // Links to seeds that come before the one that attends to this host stay
-  // wanted, and it moves to them once they do. A host dropped the link that fed
-  // it in favour of a seed that did not, and had it again a second later.
-  const auto attending =
+      OrderSeedsFor(options_.self, options_.address, options_.seeds);
+  // Keep the links to seeds that this host prefers over the one that serves it,
+  // so it can move to a preferred seed once that one serves it. Without this
+  // rule a host dropped the link that fed it in favor of a seed that did not,
+  // and reconnected a second later.
+  const auto serving =
       std::ranges::find_if(seeds, [&](const SocketAddress& it) {
-        return peers_.IsAttendedBy(it, options_, now);
+        return peers_.IsServedBy(it, options_, now);
       });
-  const bool is_attended = attending != seeds.end();
-  const auto kept =
-      is_attended ? static_cast<std::size_t>(attending - seeds.begin()) + 1 : 1;
-  const Duration unfed =
-      KnowsOfOutage(now)
+  const bool is_served = serving != seeds.end();
+  const auto min_links =
+      is_served ? static_cast<std::size_t>(serving - seeds.begin()) + 1 : 1;
+  const Duration unfed_for =
+      IsOutageReported(now)
           ? Duration::zero()
-          : std::max<Duration>(now - UnfedSince(now), Duration::zero());
-  const auto most =
-      static_cast<std::size_t>(1 + unfed / options_.seed_patience);
-  seeds.resize(std::min(seeds.size(), std::max(kept, most)));
+          : std::max<Duration>(now - FeedMissingSince(now), Duration::zero());
+  const auto tried_links =
+      static_cast<std::size_t>(1 + unfed_for / options_.seed_timeout);
+  seeds.resize(std::min(seeds.size(), std::max(min_links, tried_links)));
   return seeds;
 }
 
--- a/fleet/published_feed.h
+++ b/fleet/published_feed.h
@@ -14,27 +14,31 @@
 
 namespace damasktack {
 
-// How one host learns what is published. The first seed reads the store, seeds
-// further back follow those before them, and all other hosts follow a seed
-// each, so that the calls to the store do not grow with the fleet. Each update
-// says how long ago the store confirmed it. A host whose knowledge grows old,
-// whatever the reason (the feeder is frozen, killed, cut off from the store or
-// from this host), reads the store itself until it is fed again.
+// Keeps one host up to date with the published routes, zone drains and
+// endpoints. The first seed reads the store, each further seed follows the
+// seeds before it, and every other host follows one seed, so the number of
+// store calls does not grow with the fleet. Each update states how long ago the
+// store confirmed it. A host whose data becomes stale for whatever reason (its
+// feeder is frozen, killed, or cut off from the store or from this host) reads
+// the store itself until it is fed again.
 //
-// What a host was told passes on to higher ranks only; what the store told it
-// itself passes to lower ranks too, where a seed is turned away by a store that
-// serves others. So no confirmation goes in a circle, growing younger by the
-// time that messages travel.
+// Data received from a peer is forwarded to higher ranks only. Data that this
+// host read from the store itself is also sent to lower ranks, for a seed that
+// the store rejects while it serves others. Confirmations therefore cannot
+// circulate, which would make them look more recent by the message latency of
+// each hop.
 //
-// Pure: no clock, sockets or threads. The owner carries out steps and messages.
+// This class is a pure state machine without clock, sockets or threads; the
+// owner executes its steps and sends its messages.
 class PublishedFeed {
  public:
   PublishedFeed(PublishedFeedOptions options, std::uint64_t random_seed);
 
-  // Other seeds from now on; this host may be one of them, or be none any more.
+  // Replaces the seeds. This host may become a seed or stop being one.
   void SetSeeds(std::vector<SocketAddress> seeds);
-  // To be called again after each event and when the step's time has passed.
-  FeedStep Next(TimePoint now);
+  // Returns the next step. Must be called again after each event and when the
+  // time of the step has passed.
+  FeedStep NextStep(TimePoint now);
   void OnReadPart(PublishedItems part, TimePoint now);
   void OnReadEndpoints(PublishedItems all, TimePoint now);
   void OnReadAll(const PublishedItems& all, TimePoint now);
@@ -47,125 +51,133 @@
                  const PeerMessage& message,
                  TimePoint now,
                  Outbox& out);
-  // Tells the hosts that follow this one what it knows, where that is news.
-  void Feed(TimePoint now, Outbox& out);
+  // Sends updates, hellos and outage notices that are due.
+  void SendUpdates(TimePoint now, Outbox& out);
 
-  // Seeds to hold links to.
+  // Returns the seeds to which links should be kept open.
   std::vector<SocketAddress> WantedSeeds(TimePoint now) const;
 
   PublishedView& view() { return view_; }
   const PublishedView& view() const { return view_; }
   const FeedCounters& counters() const { return counters_; }
-  // Whether this host asks the store itself.
+  // Whether this host reads the store itself.
   bool reads_store() const { return reads_store_; }
-  // How old the knowledge is; null before the first.
+  // Returns the time since the store last confirmed the data; null before the
+  // first confirmation.
   std::optional<Duration> Age(TimePoint now) const;
-  // How many hosts the fleet has, this one included, as its feeder says or as
-  // it counts them itself; 0 where neither is known.
+  // Returns the number of hosts in the fleet, including this one, as reported
+  // by the feeder or counted by this host; 0 if unknown.
   std::int64_t KnownHosts() const;
-  // This host's place among them; none where it has not been told, or not for
-  // long enough to know how many there are.
-  FleetSeat Seat(TimePoint now) const;
+  // Returns this host's number in the fleet. Unknown until a seed has assigned
+  // one and `number_settling_time` has passed since the start.
+  FleetSeat HostNumber(TimePoint now) const;
 
  private:
-  void FindRank();
+  void UpdateRank();
   bool IsSeed() const { return rank_ != FeedHello::kNoSeed; }
-  // Whether what this host knows is news to the peer, and for this host to say.
-  bool HasNewsFor(const FeedPeer& peer) const;
-  // Whether the store told this host itself what it knows.
-  bool IsReadingWell() const {
+  // Whether the peer lacks data or a confirmation that this host has to send to
+  // it.
+  bool NeedsUpdate(const FeedPeer& peer) const;
+  // Whether this host currently has its data directly from the store.
+  bool HasOwnConfirmation() const {
     return reads_store_ && is_synced_ && !lost_contact_;
   }
-  // A seed asks the store in vain for this host, which can wait: it has routes.
-  bool KnowsOfOutage(TimePoint now) const;
+  // Whether this host can wait because it has routes and a seed has recently
+  // reported that the store does not answer.
+  bool IsOutageReported(TimePoint now) const;
   bool ShouldRead(TimePoint now) const;
   void BeginReading(TimePoint now);
-  // In an outage: between calls of one host, so that all hosts together make
-  // one within each `outage_share`.
+  // Returns the interval between store calls of one host during an outage, such
+  // that all hosts together make one call per `outage_call_spacing`.
   Duration OutageInterval() const;
-  void HoldToOutage(TimePoint now);
-  void TellOutage(TimePoint now, Outbox& out);
+  void LimitOutageWait(TimePoint now);
+  void SendOutageNotices(TimePoint now, Outbox& out);
   bool IsStale(TimePoint now) const;
   bool IsFed(TimePoint now) const;
   Duration StaleAfter() const;
-  // When a host that starts asks the store itself, unless it is fed before.
-  TimePoint StartDue() const;
-  // The next step of the early read; null where there is none.
-  std::optional<FeedStep> EarlyRead();
+  // Returns when a starting host reads the store itself unless it is fed
+  // earlier.
+  TimePoint FirstReadDue() const;
+  // Returns the next step of the early read; null if it is finished or
+  // disabled.
+  std::optional<FeedStep> NextEarlyRead();
 
   void Confirm(TimePoint at, std::uint64_t reader);
   bool IsAfterOutage(TimePoint now) const;
   FeedUpdate MakeUpdate(Revision after,
                         PublishedPart part,
                         TimePoint now) const;
-  // `to` have everything up to `after`.
+  // Sends all changes after `after`; the receivers have everything up to it.
   void SendUpdate(std::vector<HostId> to,
                   Revision after,
                   TimePoint now,
                   Outbox& out);
-  void TakePart(const HostId& host,
-                const FeedPart& part,
+  void OnPart(const HostId& host,
+              const FeedPart& part,
+              TimePoint now,
+              Outbox& out);
+  void OnUpdate(const HostId& host,
+                const FeedUpdate& update,
+                const EndpointRange& range,
                 TimePoint now,
                 Outbox& out);
-  void Take(const HostId& host,
-            const FeedUpdate& update,
-            const EndpointRange& range,
-            TimePoint now,
-            Outbox& out);
   FeedHello Hello(TimePoint now) const;
-  void Greet(TimePoint now, Outbox& out);
-  void TakeHello(const HostId& host,
-                 const FeedHello& hello,
-                 TimePoint now,
-                 Outbox& out);
-  // From when on the missing feed is noticed.
-  TimePoint UnfedSince(TimePoint now) const;
-  // A link on which nothing is said counts as dead.
+  void SendPendingHellos(TimePoint now, Outbox& out);
+  void OnHello(const HostId& host,
+               const FeedHello& hello,
+               TimePoint now,
+               Outbox& out);
+  // Returns the time from which this host counts as not fed.
+  TimePoint FeedMissingSince(TimePoint now) const;
+  // Sends periodic hellos: a link without traffic is considered dead.
   void KeepLinksAlive(TimePoint now, Outbox& out);
   Duration NextBackoff(TimePoint now);
   Duration Jittered(Duration time);
-  // From none to all of it.
+  // Returns a random duration between zero and `time`.
   Duration UpTo(Duration time);
 
-  // Only the seeds change.
+  // Only the seeds change after construction.
   PublishedFeedOptions options_;
   Random random_;
   std::int64_t rank_ = FeedHello::kNoSeed;
-  // By the last update.
-  std::int64_t told_hosts_ = 0;
+  // Number of hosts in the fleet as stated by the last update.
+  std::int64_t reported_hosts_ = 0;
   PublishedView view_;
   FeedPeers peers_;
-  FeedSeating seating_;
+  FeedSeating numbers_;
   FeedCounters counters_;
 
   std::optional<TimePoint> started_at_;
-  // When the store last confirmed what this host knows.
+  // When the store last confirmed the data of this host.
   std::optional<TimePoint> confirmed_at_;
-  // To whom, by the number that each process draws; and this one's. Seeds have
-  // lower ones than others, in the order of their ranks.
-  std::uint64_t confirmed_to_ = 0;
-  std::uint64_t own_number_ = 0;
-  std::uint64_t fed_by_ = 0;
-  // When a feed last confirmed it.
+  // The reader that received this confirmation, and the reader ID of this
+  // process. Each process draws its ID at random; IDs of seeds are lower than
+  // those of other hosts and ordered by rank.
+  std::uint64_t confirmed_by_reader_ = 0;
+  std::uint64_t own_reader_id_ = 0;
+  std::uint64_t fed_by_reader_ = 0;
+  // The latest store confirmation received from a peer.
   std::optional<TimePoint> fed_at_;
   bool reads_store_ = false;
-  // The early read has not ended; the part of it that came first.
-  bool awaits_copy_ = false;
-  std::optional<PublishedItems> part_;
-  // When it ended.
-  std::optional<TimePoint> copied_at_;
-  // A whole read has come since this host began to read.
+  // The early read has not finished; and the partial result that it returned
+  // first.
+  bool is_early_read_pending_ = false;
+  std::optional<PublishedItems> early_part_;
+  // When the early read finished.
+  std::optional<TimePoint> early_read_done_at_;
+  // A full read has succeeded since this host began to read the store.
   bool is_synced_ = false;
   bool lost_contact_ = false;
-  TimePoint next_outage_word_;
-  // What this host read was sent to a seed that cannot read.
-  bool has_helped_ = false;
-  // What the last update said of its sender, or of the host that feeds that.
+  TimePoint next_outage_notice_;
+  // Data read by this host was sent to a lower-ranked host that reported an
+  // outage.
+  bool has_updated_feeder_ = false;
+  // `after_outage` of the last update.
   bool feeder_after_outage_ = false;
   TimePoint next_call_;
   TimePoint next_hello_;
   Duration backoff_{};
-  std::optional<TimePoint> regained_at_;
+  std::optional<TimePoint> store_regained_at_;
 };
 
 }  // namespace damasktack
--- a/fleet/published_loop.cc
+++ b/fleet/published_loop.cc
@@ -11,16 +11,16 @@
 
 namespace {
 
-// A stop interrupts a call that is waiting; one that has not connected yet
-// does not hear of the first interruption.
-constexpr Duration kStopPoll = std::chrono::milliseconds(5);
-
-// Whether the owner should hear of another size of the fleet. It follows only
-// steps of an eighth: each one makes shares anew, and a fleet that starts grows
-// by a host at a time.
-bool IsNewSize(std::int64_t told, std::int64_t hosts) {
+// Stop interrupts the pending store call repeatedly: a call that has not
+// connected yet misses the first interruption.
+constexpr Duration kStopPollInterval = std::chrono::milliseconds(5);
+
+// Whether the fleet size has changed enough to notify the owner. Each change
+// recomputes shares, and a starting fleet grows one host at a time, so only
+// changes of at least one eighth are reported.
+bool IsNewSize(std::int64_t reported, std::int64_t hosts) {
   constexpr std::int64_t kStep = 8;
-  return hosts > 0 && std::abs(hosts - told) * kStep >= told;
+  return hosts > 0 && std::abs(hosts - reported) * kStep >= reported;
 }
 
 std::vector<PeerAddress> ToPeers(const std::vector<SocketAddress>& seeds) {
@@ -56,13 +56,13 @@
 
 void PublishedLoop::Start(PeerTransport* transport) {
   transport_ = transport;
-  ListenForNews();
+  ConnectExchanges();
   running_ = true;
   thread_ = std::thread([this] { Run(); });
 }
 
 void PublishedLoop::Stop() {
-  StopListening();
+  DisconnectExchanges();
   {
     const std::lock_guard lock(mutex_);
     stopping_ = true;
@@ -70,23 +70,23 @@
   wake_.notify_all();
   while (running_) {
     source_.Interrupt();
-    std::this_thread::sleep_for(kStopPoll);
+    std::this_thread::sleep_for(kStopPollInterval);
   }
   if (thread_.joinable()) {
     thread_.join();
   }
 }
 
-void PublishedLoop::ListenForNews() {
+void PublishedLoop::ConnectExchanges() {
   if (crashes_) {
-    crashes_->SetOnNews([this] { SendNews(crashes_); });
+    crashes_->SetOnNews([this] { SendExchangeUpdate(crashes_); });
   }
   if (rate_exchange_) {
-    rate_exchange_->SetOnNews([this] { SendNews(rate_exchange_); });
+    rate_exchange_->SetOnNews([this] { SendExchangeUpdate(rate_exchange_); });
   }
 }
 
-void PublishedLoop::StopListening() {
+void PublishedLoop::DisconnectExchanges() {
   if (crashes_) {
     crashes_->SetOnNews({});
   }
@@ -98,7 +98,7 @@
 void PublishedLoop::SetSeeds(std::vector<SocketAddress> seeds) {
   std::unique_lock lock(mutex_);
   feed_.SetSeeds(std::move(seeds));
-  Settle(lock);
+  PublishChanges(lock);
   wake_.notify_all();
 }
 
@@ -120,8 +120,8 @@
 void PublishedLoop::Run() {
   std::unique_lock lock(mutex_);
   while (!stopping_) {
-    const FeedStep step = feed_.Next(Clock::now());
-    Settle(lock);
+    const FeedStep step = feed_.NextStep(Clock::now());
+    PublishChanges(lock);
     if (stopping_) {
       break;
     }
@@ -130,7 +130,7 @@
       continue;
     }
     lock.unlock();
-    CarryOut(step);
+    Execute(step);
     lock.lock();
   }
   running_ = false;
@@ -151,7 +151,7 @@
       });
 }
 
-void PublishedLoop::CarryOut(const FeedStep& step) {
+void PublishedLoop::Execute(const FeedStep& step) {
   if (step.kind == FeedStep::Kind::kReadPart) {
     CallStore([&] { return source_.ReadPart(step.time); },
               [&](const PublishedItems& items) {
@@ -184,10 +184,10 @@
             });
 }
 
-void PublishedLoop::Settle(std::unique_lock<std::mutex>& lock) {
+void PublishedLoop::PublishChanges(std::unique_lock<std::mutex>& lock) {
   const TimePoint now = Clock::now();
-  feed_.Feed(now, out_);
-  const std::vector<Outbox::Parcel> parcels = out_.TakeParcels();
+  feed_.SendUpdates(now, out_);
+  const std::vector<Outbox::Multicast> parcels = out_.TakeMulticasts();
   const std::vector<SocketAddress> seeds = feed_.WantedSeeds(now);
   const bool has_new_seeds = seeds != seeds_;
   seeds_ = seeds;
@@ -196,30 +196,30 @@
   }
   const std::int64_t hosts = feed_.KnownHosts();
   const bool has_new_size =
-      hosts != told_hosts_ && IsNewSize(told_hosts_, hosts);
-  const FleetSeat seat = feed_.Seat(now);
-  const bool has_new_seat = seat != std::exchange(told_seat_, seat);
+      hosts != reported_hosts_ && IsNewSize(reported_hosts_, hosts);
+  const FleetSeat seat = feed_.HostNumber(now);
+  const bool has_new_number = seat != std::exchange(reported_number_, seat);
   const bool changed =
-      feed_.view().TakeChanged() || has_new_size || has_new_seat;
-  std::unique_lock telling(telling_, std::defer_lock);
+      feed_.view().TakeChanged() || has_new_size || has_new_number;
+  std::unique_lock notify_lock(notify_mutex_, std::defer_lock);
   if (changed) {
-    // Taken before the other lock is let go, so that no older state is told
-    // after a newer one.
-    telling.lock();
+    // Acquired before the state lock is released, so that an older state cannot
+    // be reported after a newer one.
+    notify_lock.lock();
   }
   PublishedState state;
   if (changed) {
     if (has_new_size) {
-      told_hosts_ = hosts;
+      reported_hosts_ = hosts;
     }
     const PublishedView& view = feed_.view();
     state = {view.routes(), view.Endpoints(), view.drained_zones().InForce(),
-             told_hosts_, seat};
+             reported_hosts_, seat};
   }
   lock.unlock();
   if (changed) {
     events_.OnPublished(state);
-    telling.unlock();
+    notify_lock.unlock();
   }
   SendFrames(parcels);
   if (has_new_seeds && transport_ != nullptr) {
@@ -228,11 +228,11 @@
   lock.lock();
 }
 
-void PublishedLoop::SendFrames(const std::vector<Outbox::Parcel>& parcels) {
+void PublishedLoop::SendFrames(const std::vector<Outbox::Multicast>& parcels) {
   if (transport_ == nullptr) {
     return;
   }
-  for (const Outbox::Parcel& parcel : parcels) {
+  for (const Outbox::Multicast& parcel : parcels) {
     const std::string frame = EncodePeerMessage(parcel.message);
     for (const HostId& it : parcel.to) {
       transport_->Send(it.text(), frame);
@@ -268,13 +268,13 @@
 }
 
 template <typename Exchange>
-void PublishedLoop::SendNews(std::optional<Exchange>& exchange) {
+void PublishedLoop::SendExchangeUpdate(std::optional<Exchange>& exchange) {
   Outbox out;
   {
     const std::lock_guard lock(mutex_);
     exchange->Share(Clock::now(), out);
   }
-  SendFrames(out.TakeParcels());
+  SendFrames(out.TakeMulticasts());
 }
 
 void PublishedLoop::OnLinkUp(const std::string& host,
@@ -282,7 +282,7 @@
   spdlog::info("event=peer-linked peer={} incarnation={}", host, incarnation);
   std::unique_lock lock(mutex_);
   feed_.OnLinkUp(HostId(host), Clock::now(), out_);
-  Settle(lock);
+  PublishChanges(lock);
 }
 
 void PublishedLoop::OnLinkDown(const std::string& host,
@@ -311,7 +311,7 @@
         feed_.OnMessage(HostId(host), *message, Clock::now(), out_);
         ExchangeCrashes(HostId(host), *message);
         ExchangeRates(HostId(host), *message);
-        Settle(lock);
+        PublishChanges(lock);
         return {};
       },
       [&](const Error& error) {
--- a/fleet/published_loop.h
+++ b/fleet/published_loop.h
@@ -17,20 +17,20 @@
 
 namespace damasktack {
 
-// What is published, as one host knows it now.
+// Snapshot of the published data of one host.
 struct PublishedState {
   std::shared_ptr<const RouteBook> routes;
   std::vector<PublishedEndpoint> endpoints;
-  // Their endpoints are to get no calls.
+  // Endpoints in these zones must not receive requests.
   std::vector<ZoneId> drained_zones;
-  // Hosts that share the endpoints; 0 where it is not known.
+  // Number of hosts that share the endpoints; 0 if unknown.
   std::int64_t hosts = 0;
-  // This host's place among them.
+  // This host's number among these hosts.
   FleetSeat seat;
 };
 
-// Hears of changes, on a thread of the loop or of the links; must not block
-// for long.
+// Receives changes on a thread of the loop or of the transport. Implementations
+// must not block for long.
 class PublishedLoopEvents {
  public:
   virtual ~PublishedLoopEvents() = default;
@@ -38,8 +38,8 @@
   virtual void OnPublished(const PublishedState& state) = 0;
 };
 
-// Runs a PublishedFeed: calls the store on a thread of its own and exchanges
-// messages over the links of a transport.
+// Runs a PublishedFeed: performs its store calls on a dedicated thread and
+// exchanges its messages over a peer transport.
 class PublishedLoop : public PeerTransportEvents {
  public:
   PublishedLoop(PublishedFeedOptions options,
@@ -48,22 +48,23 @@
                 std::uint64_t random_seed);
   ~PublishedLoop() override;
 
-  // Exchanges evidence on crashes over the same links. Before Start; must
-  // outlive Stop.
+  // Shares crash reports over the same links. Must be called before Start;
+  // `quarantine` must outlive Stop.
   void ShareCrashes(RequestQuarantine& quarantine);
-  // The same with the rate limits that endpoints state.
+  // Shares the rate limits stated by endpoints, under the same conditions.
   void ShareRates(EndpointRates& rates);
-  // `transport` may be null: then this host reads the store alone. It must
-  // outlive Stop.
+  // Starts the loop. Without a transport (null) this host only reads the store.
+  // `transport` must outlive Stop.
   void Start(PeerTransport* transport);
   void Stop();
 
-  // Other hosts at which peers find each other from now on.
+  // Replaces the seeds.
   void SetSeeds(std::vector<SocketAddress> seeds);
 
   FeedCounters counters() const;
   bool reads_store() const;
-  // How old the knowledge is; null before the first.
+  // Returns the time since the store last confirmed the data; null before the
+  // first confirmation.
   std::optional<Duration> Age(TimePoint now) const;
 
   void OnLinkUp(const std::string& host, std::uint64_t incarnation) override;
@@ -74,23 +75,23 @@
 
  private:
   void Run();
-  void CarryOut(const FeedStep& step);
-  // What `call` returns goes to the feed, or its error does.
+  void Execute(const FeedStep& step);
+  // Passes the result of `call` to `take`, or its error to the feed.
   template <typename Call, typename Take>
   void CallStore(Call call, Take take);
-  // Sends what is to be sent and tells the owner of changes; the caller holds
-  // the lock, which is released meanwhile.
-  void Settle(std::unique_lock<std::mutex>& lock);
-  void SendFrames(const std::vector<Outbox::Parcel>& parcels);
-  // The caller holds the lock.
+  // Sends pending messages and reports changes to the owner. Called with the
+  // lock held; releases it temporarily.
+  void PublishChanges(std::unique_lock<std::mutex>& lock);
+  void SendFrames(const std::vector<Outbox::Multicast>& parcels);
+  // Called with the lock held.
   void ExchangeCrashes(const HostId& host, const PeerMessage& message);
   void ExchangeRates(const HostId& host, const PeerMessage& message);
-  // Sends what an exchange has to tell. On the thread of the call that brought
-  // the news: the loop's own may be waiting for the store.
+  // Sends pending reports of an exchange. Runs on the thread of the request
+  // that produced them, because the loop thread may be waiting for the store.
   template <typename Exchange>
-  void SendNews(std::optional<Exchange>& exchange);
-  void ListenForNews();
-  void StopListening();
+  void SendExchangeUpdate(std::optional<Exchange>& exchange);
+  void ConnectExchanges();
+  void DisconnectExchanges();
 
   PublishedSource& source_;
   PublishedLoopEvents& events_;
@@ -98,20 +99,20 @@
   std::thread thread_;
   std::atomic<bool> running_ = false;
 
-  // Changes reach the owner in their order.
-  std::mutex telling_;
+  // Held while the owner is notified, so that changes reach it in order.
+  std::mutex notify_mutex_;
   mutable std::mutex mutex_;
   std::condition_variable wake_;
   bool stopping_ = false;
   PublishedFeed feed_;
-  // Null where no evidence is exchanged.
+  // Null if crash reports are not exchanged.
   std::optional<CrashExchange> crashes_;
   std::optional<EndpointRateExchange> rate_exchange_;
   Outbox out_;
   std::vector<SocketAddress> seeds_;
-  // Hosts of the fleet as the owner was told last.
-  std::int64_t told_hosts_ = 0;
-  FleetSeat told_seat_;
+  // Fleet size last reported to the owner.
+  std::int64_t reported_hosts_ = 0;
+  FleetSeat reported_number_;
 };
 
 }  // namespace damasktack
--- a/fleet/published_messages.cc
+++ b/fleet/published_messages.cc
@@ -14,10 +14,10 @@
 using detail::ReadTime;
 using detail::ToMicroseconds;
 
-constexpr std::int64_t kMostCount = 1'000'000'000'000;
+constexpr std::int64_t kMaxCount = 1'000'000'000'000;
 
-// Books and their steps keep their order; all else of an update stands in
-// tables.
+// Route books and their changes keep their order; all other items of an update
+// are written as tables.
 std::optional<Json> RoutesToJson(const PublishedItem& item) {
   if (const auto* book = std::get_if<RouteBook>(&item.value)) {
     return Json{{"revision", item.revision}, {"routes", ToJson(*book)}};
@@ -56,7 +56,7 @@
   return {};
 }
 
-// Rows of a revision, a zone and whether its drain is in force.
+// Writes rows of the form [revision, zone, drain in force].
 Json ZoneDrainsToJson(const std::vector<PublishedItem>& items) {
   Json rows = Json::array();
   for (const PublishedItem& it : items) {
@@ -77,7 +77,7 @@
                         it[2].is_boolean();
     if (!is_row) {
       return Fail(ErrorKind::kWrongType, path,
-                  "something else than a revision, a zone and a flag",
+                  "not a row of a revision, a zone and a flag",
                   "check that the sender is a daemon of this system");
     }
     items.push_back(
@@ -110,9 +110,9 @@
   reader.Read("rank", hello.rank, 0, kNoSeed);
   reader.Read("address", hello.address);
   reader.Read("revision", hello.revision);
-  reader.ReadOptional("followers", hello.followers, 0, kMostCount);
-  reader.ReadOptional("seat", hello.seat.number, FleetSeat::kNone, kMostCount);
-  reader.ReadOptional("seats", hello.seat.seats, 0, kMostCount);
+  reader.ReadOptional("followers", hello.followers, 0, kMaxCount);
+  reader.ReadOptional("seat", hello.seat.number, FleetSeat::kNone, kMaxCount);
+  reader.ReadOptional("seats", hello.seat.seats, 0, kMaxCount);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   return hello;
 }
@@ -154,7 +154,7 @@
   reader.ReadOptional("reader", update.reader);
   reader.ReadOptional("whole", update.whole);
   reader.ReadOptional("after_outage", update.after_outage);
-  reader.ReadOptional("hosts", update.hosts, 0, kMostCount);
+  reader.ReadOptional("hosts", update.hosts, 0, kMaxCount);
   reader.ReadOptional("present", present);
   const Json* books = reader.OptionalArray("books");
   const Json* endpoints = reader.OptionalObject("endpoints");
@@ -210,8 +210,8 @@
                                        const std::string& path) {
   FeedSeat message;
   JsonReader reader(json, path);
-  reader.Read("seat", message.seat.number, 0, kMostCount);
-  reader.Read("seats", message.seat.seats, 1, kMostCount);
+  reader.Read("seat", message.seat.number, 0, kMaxCount);
+  reader.Read("seats", message.seat.seats, 1, kMaxCount);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   if (message.seat.number >= message.seat.seats) {
     return Fail(ErrorKind::kOutOfRange, path + ".seat",
@@ -230,7 +230,7 @@
                                            const std::string& path) {
   FeedOutage outage;
   JsonReader reader(json, path);
-  reader.ReadOptional("hosts", outage.hosts, 0, kMostCount);
+  reader.ReadOptional("hosts", outage.hosts, 0, kMaxCount);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   return outage;
 }
--- a/fleet/published_messages.h
+++ b/fleet/published_messages.h
@@ -13,21 +13,21 @@
 
 namespace damasktack {
 
-// Opens the exchange of what is published on a new link, and asks again after
-// a gap.
+// Starts the exchange of published data on a new link, and requests missing
+// data after a gap.
 struct FeedHello {
   static constexpr std::string_view kKind = "feed-hello";
 
-  // Place among the seeds; a host that is none has kNoSeed. What is published
-  // passes from lower ranks to higher ones only, so that it goes in no circle.
+  // Position among the seeds; kNoSeed for a host that is not a seed. Data is
+  // forwarded from lower to higher ranks only, so that it cannot circulate.
   std::int64_t rank = 0;
-  // Where peers reach the sender.
+  // Address under which peers reach the sender.
   SocketAddress address;
-  // What the sender has already.
+  // Revision of the data that the sender already has.
   Revision revision = 0;
-  // Hosts that are no seeds and that the sender feeds.
+  // Number of non-seed hosts that the sender feeds.
   std::int64_t followers = 0;
-  // The one that the sender has; none where it has not been told.
+  // Host number of the sender; unknown until a seed has assigned one.
   FleetSeat seat;
 
   static constexpr std::int64_t kNoSeed = 1'000'000;
@@ -39,29 +39,34 @@
   bool operator==(const FeedHello&) const = default;
 };
 
-// Changes after a revision, or none: then it says that nothing has changed.
+// Changes after a revision. Without changes it confirms that the revision is
+// still the newest.
 struct FeedUpdate {
-  // A daemon that knows no tables passes this kind over. Under the kind of
-  // before it would take an update without a list of objects for one that
-  // changes nothing.
+  // Daemons that do not know the table format ignore this kind. Under the
+  // previous kind they would read an update without a list of objects as one
+  // without changes.
   static constexpr std::string_view kKind = "feed-tables";
 
-  // The receiver must have this revision for the changes to be all.
+  // Base revision: the receiver must have all changes up to it.
   Revision after = 0;
   PublishedItems changes;
-  // The sender cannot name each removal after `after`: it began to read later.
-  // What is neither in the changes nor in `present` is published no more.
+  // The sender does not know all removals after `after` because it began to
+  // read later. Anything that is neither in the changes nor in `present` is no
+  // longer published.
   bool whole = false;
-  // Endpoints that have not changed since `after`; only where it is whole. Ids
-  // take a fifth of the entries, which the receiver has.
+  // IDs of endpoints that have not changed since `after`; only used if `whole`
+  // is set. An ID takes a fifth of the size of an entry, and the receiver has
+  // the entry.
   std::vector<EndpointId> present;
-  // Endpoints removed may only have lost their lease while the store was away.
+  // The store was recently unreachable, so removed endpoints may only have lost
+  // their lease.
   bool after_outage = false;
-  // Hosts of the fleet as far as the sender knows; 0 where it does not.
+  // Number of hosts in the fleet; 0 if unknown to the sender.
   std::int64_t hosts = 0;
-  // The process that the store confirmed it to, by a number of its own.
+  // Reader ID of the process that received the confirmation from the store.
   std::uint64_t reader = 0;
-  // How long ago the store confirmed that `changes.current` is the newest.
+  // Time since the store confirmed that `changes.current` is the newest
+  // revision.
   Duration age{};
 
   Json ToJson() const;
@@ -71,9 +76,9 @@
   bool operator==(const FeedUpdate&) const = default;
 };
 
-// A range of an update that is too large for one message. Parts are sent one
-// after the other; the last one confirms them all. Of a kind of its own, since
-// a daemon that knows no ranges would take it for all there is.
+// One range of an update that is too large for a single message. Parts are sent
+// in order; the last one confirms them all. It has its own kind because a
+// daemon that does not know ranges would take a part for the full update.
 struct FeedPart {
   static constexpr std::string_view kKind = "feed-part";
 
@@ -87,7 +92,8 @@
   bool operator==(const FeedPart&) const = default;
 };
 
-// A seed gives a host that follows it another seat than that host has said.
+// Sent by a seed to a follower whose host number differs from the one that the
+// seed assigns to it.
 struct FeedSeat {
   static constexpr std::string_view kKind = "feed-seat";
 
@@ -100,13 +106,13 @@
   bool operator==(const FeedSeat&) const = default;
 };
 
-// The sender asks the store and gets no answer, or was told so. Without a word
-// a follower cannot tell such a seed from one that is dead, and asks the store
-// itself.
+// Reports that the store does not answer the sender, or that the sender was
+// told so by another seed. Without this message a follower cannot tell such a
+// seed from a dead one and would read the store itself.
 struct FeedOutage {
   static constexpr std::string_view kKind = "feed-outage";
 
-  // Hosts of the fleet as far as the sender knows; 0 where it does not.
+  // Number of hosts in the fleet; 0 if unknown to the sender.
   std::int64_t hosts = 0;
 
   Json ToJson() const;
--- a/fleet/published_part.h
+++ b/fleet/published_part.h
@@ -8,8 +8,9 @@
 
 namespace damasktack {
 
-// Endpoints with ids after `begin` and up to `end`. An empty `begin` stands
-// for the first endpoint, an empty `end` for the last.
+// A range of endpoints with IDs after `begin` and up to and including `end`. An
+// empty `begin` means from the first endpoint, an empty `end` up to the last
+// one.
 struct EndpointRange {
   EndpointId begin;
   EndpointId end;
@@ -23,16 +24,16 @@
   bool operator==(const EndpointRange&) const = default;
 };
 
-// What a host tells one that knows everything up to a revision, for a range of
-// endpoints. Routes and drains of zones come with the first range.
+// The changes of one range of endpoints for a peer that has everything up to a
+// revision. Routes and zone drains are in the first range.
 struct PublishedPart {
   EndpointRange range;
   PublishedItems changes;
-  // Removals cannot all be named: endpoints of the range that are neither in
-  // the changes nor in `present` are published no more.
+  // Not all removals are known: endpoints of the range that are neither in the
+  // changes nor in `present` are no longer published.
   bool whole = false;
-  // Endpoints that have not changed; only where it is whole. Ids take a fifth
-  // of the entries, which the receiver has.
+  // IDs of unchanged endpoints; only used if `whole` is set. An ID takes a
+  // fifth of the size of an entry, and the receiver has the entry.
   std::vector<EndpointId> present;
 
   bool operator==(const PublishedPart&) const = default;
--- a/fleet/published_source.h
+++ b/fleet/published_source.h
@@ -14,16 +14,16 @@
 
 namespace damasktack {
 
-// An endpoint that is published no more.
+// An endpoint that is no longer published.
 struct RemovedEndpoint {
   EndpointId id;
 
   bool operator==(const RemovedEndpoint&) const = default;
 };
 
-// An endpoint whose entry cannot be used: fields that are missing or of another
-// type, a state that is not known, bytes that are no value. Whoever wrote it,
-// it names nothing to send calls to, and the entry it replaced is gone.
+// An endpoint whose entry is unusable: missing fields, fields of a wrong type,
+// an unknown state, or undecodable bytes. Such an entry contains no target for
+// requests, and the valid entry it replaced no longer exists, whoever wrote it.
 struct UnusableEndpoint {
   EndpointId id;
   Error error;
@@ -31,8 +31,8 @@
   bool operator==(const UnusableEndpoint&) const = default;
 };
 
-// The operator wants no calls sent to the endpoints of a zone, or has taken
-// that back.
+// The operator has drained the endpoints of a zone (`in_force`) or has ended
+// that drain.
 struct ZoneDrain {
   ZoneId zone;
   bool in_force = false;
@@ -40,14 +40,15 @@
   bool operator==(const ZoneDrain&) const = default;
 };
 
-// A value that could not be read; the last good one stays in force.
+// A value that could not be parsed; the last valid one stays in use.
 struct UnreadableValue {
   Error error;
 
   bool operator==(const UnreadableValue&) const = default;
 };
 
-// Changes of a book come from peers only; the store always holds it whole.
+// RouteBookChange is only received from peers; the store always holds the full
+// book.
 using PublishedValue = std::variant<RouteBook,
                                     RouteBookChange,
                                     PublishedEndpoint,
@@ -57,7 +58,7 @@
                                     UnreadableValue>;
 
 struct PublishedItem {
-  // Of its last change; goes up over all items together.
+  // Revision of the last change; revisions increase across all items.
   Revision revision = 0;
   PublishedValue value;
 
@@ -66,30 +67,31 @@
 
 struct PublishedItems {
   std::vector<PublishedItem> items;
-  // Changes up to here are in the items.
+  // All changes up to this revision are included.
   Revision current = 0;
 
   bool operator==(const PublishedItems&) const = default;
 };
 
-// Routes, drains of zones and endpoints as the platform publishes them: read
-// and watched, never written. Errors: kStale where the changes after a revision
-// are no longer kept, kUnreachable, kTimeout, kProtocol.
+// Reads and watches the routes, zone drains and endpoints published by the
+// platform; never writes. Errors: kStale if the changes after a revision are no
+// longer kept, kUnreachable, kTimeout, kProtocol.
 class PublishedSource {
  public:
   virtual ~PublishedSource() = default;
 
-  // All items. They are read page by page and are no snapshot: `current` is
-  // the oldest revision of a page, so that a watch from it misses nothing.
+  // Reads all items. They are read page by page and are not a snapshot:
+  // `current` is the oldest revision of any page, so a watch from it misses no
+  // change.
   virtual leaf::result<PublishedItems> ReadAll(Duration timeout) = 0;
-  // Of any copy of the store, which is cheaper and perhaps seconds old: the
-  // routes, the drains of zones and a random sixteenth of the endpoints; then
-  // all endpoints.
+  // Read from any replica of the store, which is cheaper but possibly seconds
+  // old. ReadPart returns the routes, the zone drains and a random sixteenth of
+  // the endpoints, ReadEndpoints all endpoints.
   virtual leaf::result<PublishedItems> ReadPart(Duration timeout) = 0;
   virtual leaf::result<PublishedItems> ReadEndpoints(Duration timeout) = 0;
-  // Waits up to `wait` for changes after a revision.
+  // Waits up to `wait` for changes after a revision and returns them.
   virtual leaf::result<PublishedItems> Watch(Revision after, Duration wait) = 0;
-  // Makes a call that is waiting now fail at once.
+  // Makes a pending call fail at once.
   virtual void Interrupt() = 0;
 };
 
--- a/fleet/published_view.cc
+++ b/fleet/published_view.cc
@@ -9,33 +9,37 @@
 
 namespace {
 
-// Removals remembered; the oldest are forgotten beyond. Many times what leaves
-// within the seconds for which an old read may be on its way.
-constexpr std::size_t kMostRemoved = 4096;
-// Steps between books that are kept, and the part of a book up to which a step
-// is worth more than the book. A peer is behind by one or two as a rule; more
-// come where changes follow each other within a second.
-constexpr std::size_t kMostBookSteps = 8;
-// Endpoints whose refusal is remembered; all are forgotten beyond, and are told
-// once more. Many times what one mistaken writer leaves in a store.
-constexpr std::size_t kMostRefused = 4096;
-constexpr std::size_t kLargestStepPart = 4;
-
-// An endpoint that is said to stay cold for so much longer than was believed
-// has become cold again; heartbeats and their ways differ by less.
-constexpr Duration kColdAgain = std::chrono::milliseconds(1000);
-
-// Whether a host would go by both in the same way. How much longer an endpoint
-// stays cold runs down by itself.
-bool IsAlike(PublishedEndpoint a, const PublishedEndpoint& b) {
+// Maximum number of recorded removals; the oldest are discarded first. Far more
+// than the removals within the seconds for which an old read can be delayed.
+constexpr std::size_t kMaxRecordedRemovals = 4096;
+// Maximum number of kept route changes, and the minimum ratio of book size to
+// change size for which a change is kept instead of sending the full book. A
+// peer is usually one or two changes behind, more when changes follow each
+// other within a second.
+constexpr std::size_t kMaxBookTransitions = 8;
+// Maximum number of endpoints whose rejection is recorded. Beyond it all
+// records are cleared and rejections are reported once more. Far more than one
+// faulty writer leaves in a store.
+constexpr std::size_t kMaxRecordedRefusals = 4096;
+constexpr std::size_t kMinBookToChangeRatio = 4;
+
+// An endpoint whose remaining cold time exceeds the expected one by at least
+// this much has become cold again; the jitter of heartbeats and of their
+// delivery is smaller.
+constexpr Duration kColdRestartThreshold = std::chrono::milliseconds(1000);
+
+// Whether both entries have the same effect on a host. The remaining cold time
+// is ignored because it decreases by itself.
+bool IsEquivalent(PublishedEndpoint a, const PublishedEndpoint& b) {
   a.cold_for = b.cold_for;
   a.spec.cold_until = b.spec.cold_until;
   return a == b;
 }
 
-// A route is as large as two entries of endpoints.
-std::size_t WeightOfRoutes(const PublishedItems& items) {
-  constexpr std::size_t kEntriesOfRoute = 2;
+// Returns the size of the routes in units of endpoint entries; a route is as
+// large as two of them.
+std::size_t EntryWeightOfRoutes(const PublishedItems& items) {
+  constexpr std::size_t kEntriesPerRoute = 2;
   std::size_t routes = 0;
   for (const PublishedItem& it : items.items) {
     if (const auto* book = std::get_if<RouteBook>(&it.value)) {
@@ -44,7 +48,7 @@
       routes += step->changed.size() + step->removed.size();
     }
   }
-  return kEntriesOfRoute * routes;
+  return kEntriesPerRoute * routes;
 }
 
 TimePoint ColdUntil(const PublishedEndpoint& endpoint, TimePoint now) {
@@ -60,16 +64,17 @@
   Present present;
   for (const PublishedItem& it : all.items) {
     present.Add(it.value);
-    Take(it, after_outage, now);
-    TellAnew(it);
+    Apply(it, after_outage, now);
+    MarkChangedForPeers(it);
   }
   Retain(present, {}, all.current, after_outage, now);
-  ReachWhole(all.current);
+  MarkCompleteAt(all.current);
 }
 
-void PublishedView::TakeSome(const PublishedItems& some, TimePoint now) {
+void PublishedView::ApplyPartialRead(const PublishedItems& some,
+                                     TimePoint now) {
   for (const PublishedItem& it : some.items) {
-    Take(it, false, now);
+    Apply(it, false, now);
   }
 }
 
@@ -79,14 +84,14 @@
                              bool after_outage,
                              TimePoint now) {
   for (const PublishedItem& it : changes.items) {
-    Take(it, after_outage, now);
+    Apply(it, after_outage, now);
     if (present != nullptr) {
-      TellAnew(it);
+      MarkChangedForPeers(it);
     }
   }
   // With the new revision this host would count as up to date, and its feeder
-  // would not send the book that it lacks.
-  if (misses_book_) {
+  // would not send the missing book.
+  if (needs_full_book_) {
     return;
   }
   if (present != nullptr) {
@@ -101,25 +106,25 @@
   }
   revision_ = std::max(revision_, changes.current);
   if (present != nullptr) {
-    ReachWhole(changes.current);
+    MarkCompleteAt(changes.current);
   }
 }
 
-void PublishedView::ReachWhole(Revision revision) {
+void PublishedView::MarkCompleteAt(Revision revision) {
   revision_ = std::max(revision_, revision);
   if (!complete_after_) {
     complete_after_ = revision_;
   }
 }
 
-// An endpoint may have been removed and published again as it was, unseen by
-// this host and seen by a peer in between.
-void PublishedView::TellAnew(const PublishedItem& item) {
+// Marks an entry of a full read as changed. The endpoint may have been removed
+// and published again unchanged, which this host has not seen but a peer has.
+void PublishedView::MarkChangedForPeers(const PublishedItem& item) {
   const auto* endpoint = std::get_if<PublishedEndpoint>(&item.value);
   const auto it = endpoint == nullptr ? endpoints_.end()
                                       : endpoints_.find(endpoint->spec.id);
   if (it != endpoints_.end()) {
-    it->second.told_revision = it->second.revision;
+    it->second.forwarded_revision = it->second.revision;
   }
 }
 
@@ -145,8 +150,8 @@
     }
   }
   for (const EndpointId& it : missing) {
-    Remember(it, current);
-    Miss(it, after_outage, now);
+    RecordRemoval(it, current);
+    MarkMissing(it, after_outage, now);
   }
   if (range.IsFirst()) {
     const bool has_ended = drained_zones_.Retain(present.drained, current);
@@ -160,30 +165,30 @@
   TakePart({}, changes, nullptr, after_outage, now);
 }
 
-void PublishedView::Take(const PublishedItem& item,
-                         bool after_outage,
-                         TimePoint now) {
+void PublishedView::Apply(const PublishedItem& item,
+                          bool after_outage,
+                          TimePoint now) {
   if (const auto* book = std::get_if<RouteBook>(&item.value)) {
-    TakeRoutes(*book, item.revision);
+    ApplyRoutes(*book, item.revision);
   } else if (const auto* change = std::get_if<RouteBookChange>(&item.value)) {
-    TakeRoutesChange(*change, item.revision);
+    ApplyRoutesChange(*change, item.revision);
   } else if (const auto* endpoint =
                  std::get_if<PublishedEndpoint>(&item.value)) {
-    TakeEndpoint(*endpoint, item.revision, now);
+    ApplyEndpoint(*endpoint, item.revision, now);
   } else if (const auto* unusable =
                  std::get_if<UnusableEndpoint>(&item.value)) {
-    TakeUnusable(*unusable, item.revision);
+    ApplyUnusable(*unusable, item.revision);
   } else if (const auto* removed = std::get_if<RemovedEndpoint>(&item.value)) {
     const auto it = endpoints_.find(removed->id);
     const bool is_known = it != endpoints_.end();
     if (is_known && it->second.revision <= item.revision) {
       it->second.revision = item.revision;
-      Miss(removed->id, after_outage, now);
+      MarkMissing(removed->id, after_outage, now);
     }
-    Remember(removed->id, item.revision);
+    RecordRemoval(removed->id, item.revision);
   } else if (const auto* drain = std::get_if<ZoneDrain>(&item.value)) {
-    const bool is_news = drained_zones_.Take(*drain, item.revision);
-    changed_ = changed_ || is_news;
+    const bool is_new = drained_zones_.Take(*drain, item.revision);
+    changed_ = changed_ || is_new;
   } else {
     const Error& error = std::get<UnreadableValue>(item.value).error;
     if (unreadable_ != error) {
@@ -193,34 +198,36 @@
   }
 }
 
-// The store still has a value under the id, so its lease has not run out: there
-// is no grace as for an entry that is missing after an outage.
-void PublishedView::TakeUnusable(const UnusableEndpoint& unusable,
-                                 Revision revision) {
+// Removes the endpoint at once. The store still has a value under the ID, so
+// its lease has not expired, and the grace period of entries missing after an
+// outage does not apply.
+void PublishedView::ApplyUnusable(const UnusableEndpoint& unusable,
+                                  Revision revision) {
   const auto it = endpoints_.find(unusable.id);
   if (it != endpoints_.end() && it->second.revision <= revision) {
     endpoints_.erase(it);
     changed_ = true;
   }
-  Remember(unusable.id, revision);
-  if (refused_endpoints_.size() >= kMostRefused) {
+  RecordRemoval(unusable.id, revision);
+  if (refused_endpoints_.size() >= kMaxRecordedRefusals) {
     refused_endpoints_.clear();
   }
-  Revision& told = refused_endpoints_[unusable.id];
-  if (told < revision) {
-    told = revision;
+  Revision& reported = refused_endpoints_[unusable.id];
+  if (reported < revision) {
+    reported = revision;
     refused_.push_back(unusable.error);
   }
 }
 
-// Forgetting all at once would have each follower told of every endpoint as
-// soon as more have left than are remembered.
-void PublishedView::Remember(const EndpointId& removed, Revision revision) {
+// Discards only the oldest removal. Discarding all at once would send every
+// endpoint to each follower as soon as the limit is exceeded.
+void PublishedView::RecordRemoval(const EndpointId& removed,
+                                  Revision revision) {
   Revision& known = removed_[removed];
   removal_order_.erase({known, removed});
   known = std::max(known, revision);
   removal_order_.insert({known, removed});
-  if (removed_.size() <= kMostRemoved) {
+  if (removed_.size() <= kMaxRecordedRemovals) {
     return;
   }
   const auto oldest = removal_order_.begin();
@@ -231,75 +238,77 @@
   removal_order_.erase(oldest);
 }
 
-void PublishedView::TakeRoutes(const RouteBook& book, Revision revision) {
+void PublishedView::ApplyRoutes(const RouteBook& book, Revision revision) {
   if (routes_ && book.version <= routes_->version) {
     return;
   }
-  const std::optional<Error> fault =
+  const std::optional<Error> error =
       FaultOf([&] { return CheckRouteBook(book); });
-  if (fault) {
-    refused_.push_back(*fault);
+  if (error) {
+    refused_.push_back(*error);
     return;
   }
-  RememberStep(book, revision);
+  RecordBookTransition(book, revision);
   routes_ = std::make_shared<RouteBook>(book);
   routes_revision_ = revision;
   changed_ = true;
 }
 
-void PublishedView::TakeRoutesChange(const RouteBookChange& change,
-                                     Revision revision) {
+void PublishedView::ApplyRoutesChange(const RouteBookChange& change,
+                                      Revision revision) {
   if (routes_ && change.version <= routes_->version) {
     return;
   }
-  // A feeder that read the store at other moments has merged other versions
-  // into one step. Applied to another book it would leave routes in force that
-  // were removed between.
+  // A feeder that read the store at other times may have merged several
+  // versions into one change. Applied to a different book, the change would
+  // keep routes that were removed in between.
   if (!routes_ || change.base_version != routes_->version) {
-    misses_book_ = true;
+    needs_full_book_ = true;
     return;
   }
-  TakeRoutes(ApplyChange(*routes_, change), revision);
+  ApplyRoutes(ApplyChange(*routes_, change), revision);
 }
 
-void PublishedView::RememberStep(const RouteBook& book, Revision revision) {
+void PublishedView::RecordBookTransition(const RouteBook& book,
+                                         Revision revision) {
   if (!routes_) {
     return;
   }
   RouteBookChange change = CompareBooks(*routes_, book);
   const std::size_t size = change.changed.size() + change.removed.size();
-  if (size * kLargestStepPart > book.routes.size()) {
-    // Whoever holds a book from before needs the whole one.
-    book_steps_.clear();
+  if (size * kMinBookToChangeRatio > book.routes.size()) {
+    // Peers with an earlier book need the full one.
+    book_transitions_.clear();
     return;
   }
-  book_steps_.push_back({routes_revision_, revision, std::move(change)});
-  if (book_steps_.size() > kMostBookSteps) {
-    book_steps_.pop_front();
+  book_transitions_.push_back({routes_revision_, revision, std::move(change)});
+  if (book_transitions_.size() > kMaxBookTransitions) {
+    book_transitions_.pop_front();
   }
 }
 
-// A peer that has seen everything up to `after` holds the book that was the
-// newest then: the one that the first step after it begins at, if that step is
-// kept.
+// A peer that has everything up to `after` holds the book that was current
+// then, which is the base of the first change after `after` if that change is
+// still kept.
 void PublishedView::AddRoutesAfter(Revision after, PublishedItems& out) const {
   if (!routes_ || routes_revision_ <= after) {
     return;
   }
   const auto first = std::ranges::find_if(
-      book_steps_, [&](const BookStep& it) { return it.revision > after; });
-  if (first == book_steps_.end() || first->base > after) {
+      book_transitions_,
+      [&](const BookTransition& it) { return it.revision > after; });
+  if (first == book_transitions_.end() || first->base > after) {
     out.items.push_back({routes_revision_, *routes_});
     return;
   }
-  for (auto it = first; it != book_steps_.end(); ++it) {
+  for (auto it = first; it != book_transitions_.end(); ++it) {
     out.items.push_back({it->revision, it->change});
   }
 }
 
-void PublishedView::TakeEndpoint(const PublishedEndpoint& endpoint,
-                                 Revision revision,
-                                 TimePoint now) {
+void PublishedView::ApplyEndpoint(const PublishedEndpoint& endpoint,
+                                  Revision revision,
+                                  TimePoint now) {
   const auto removed = removed_.find(endpoint.spec.id);
   if (removed != removed_.end() && removed->second >= revision) {
     return;
@@ -310,56 +319,58 @@
   }
   entry.revision = revision;
   if (endpoint.spec.started_at < entry.endpoint.spec.started_at) {
-    SetAsideEarlierStart(entry, endpoint, now);
+    HoldEarlierStart(entry, endpoint, now);
     return;
   }
-  PutInForce(entry, endpoint, now);
+  SetEndpoint(entry, endpoint, now);
 }
 
-void PublishedView::PutInForce(Entry& entry,
-                               const PublishedEndpoint& endpoint,
-                               TimePoint now) {
+void PublishedView::SetEndpoint(Entry& entry,
+                                const PublishedEndpoint& endpoint,
+                                TimePoint now) {
   entry.earlier_start.reset();
-  // A process that leaves never comes back: a newer entry that says so is a
-  // late write. Another process under its id may serve.
+  // A process that is leaving never returns to service, so a newer entry of the
+  // same process that says otherwise is a late write. Another process under the
+  // same ID may serve.
   const EndpointSpec& known = entry.endpoint.spec;
-  PublishedEndpoint taken = endpoint;
+  PublishedEndpoint updated = endpoint;
   if (known.state == ListedState::kLeaving &&
-      known.started_at == taken.spec.started_at) {
-    taken.spec.state = ListedState::kLeaving;
+      known.started_at == updated.spec.started_at) {
+    updated.spec.state = ListedState::kLeaving;
   }
-  taken.spec.cold_until = ColdUntil(taken, now);
+  updated.spec.cold_until = ColdUntil(updated, now);
   const bool is_cold_again =
-      taken.spec.cold_until - known.cold_until >= kColdAgain;
+      updated.spec.cold_until - known.cold_until >= kColdRestartThreshold;
   if (!entry.missing_since && !is_cold_again &&
-      IsAlike(entry.endpoint, taken)) {
+      IsEquivalent(entry.endpoint, updated)) {
     return;
   }
   entry.missing_since.reset();
-  entry.endpoint = std::move(taken);
-  entry.told_revision = entry.revision;
+  entry.endpoint = std::move(updated);
+  entry.forwarded_revision = entry.revision;
   changed_ = true;
 }
 
-// The entry shows that somebody writes under the id, so it is missing no more.
-void PublishedView::SetAsideEarlierStart(Entry& entry,
-                                         const PublishedEndpoint& endpoint,
-                                         TimePoint now) {
+// The entry shows that a process writes under the ID, so it is no longer
+// missing.
+void PublishedView::HoldEarlierStart(Entry& entry,
+                                     const PublishedEndpoint& endpoint,
+                                     TimePoint now) {
   changed_ = changed_ || entry.missing_since.has_value();
   entry.missing_since.reset();
-  if (entry.earlier_start && IsAlike(*entry.earlier_start, endpoint)) {
+  if (entry.earlier_start && IsEquivalent(*entry.earlier_start, endpoint)) {
     return;
   }
   if (!entry.earlier_start) {
     entry.earlier_start_since = now;
   }
   entry.earlier_start = endpoint;
-  entry.told_revision = entry.revision;
+  entry.forwarded_revision = entry.revision;
 }
 
-void PublishedView::Miss(const EndpointId& id,
-                         bool after_outage,
-                         TimePoint now) {
+void PublishedView::MarkMissing(const EndpointId& id,
+                                bool after_outage,
+                                TimePoint now) {
   const auto it = endpoints_.find(id);
   if (it == endpoints_.end()) {
     return;
@@ -381,10 +392,11 @@
   });
   changed_ = changed_ || gone > 0;
   for (auto& [id, entry] : endpoints_) {
-    const bool stays = entry.earlier_start &&
-                       now - entry.earlier_start_since >= kEarlierStartGrace;
-    if (stays) {
-      PutInForce(entry, PublishedEndpoint(*entry.earlier_start), now);
+    const bool is_confirmed =
+        entry.earlier_start &&
+        now - entry.earlier_start_since >= kEarlierStartGrace;
+    if (is_confirmed) {
+      SetEndpoint(entry, PublishedEndpoint(*entry.earlier_start), now);
     }
   }
 }
@@ -423,23 +435,23 @@
 
 PublishedPart PublishedView::PartAfter(Revision after,
                                        const EndpointId& begin,
-                                       std::size_t most_entries,
+                                       std::size_t max_entries,
                                        TimePoint now) const {
   PublishedPart part;
   part.range.begin = begin;
   part.whole = !KnowsRemovalsAfter(after);
   part.changes.current = revision_;
   if (part.range.IsFirst()) {
-    AddAllButEndpoints(after, part);
+    AddRoutesAndDrains(after, part);
   }
-  const std::size_t most =
-      most_entries - std::min(most_entries, WeightOfRoutes(part.changes));
+  const std::size_t limit =
+      max_entries - std::min(max_entries, EntryWeightOfRoutes(part.changes));
   EndpointId last;
   auto entry = endpoints_.upper_bound(begin);
   auto removal = removed_.upper_bound(begin);
   while (entry != endpoints_.end() || removal != removed_.end()) {
     const bool is_full =
-        part.changes.items.size() + part.present.size() >= most;
+        part.changes.items.size() + part.present.size() >= limit;
     if (is_full && !last.text().empty()) {
       part.range.end = last;
       break;
@@ -460,7 +472,7 @@
   return part;
 }
 
-void PublishedView::AddAllButEndpoints(Revision after,
+void PublishedView::AddRoutesAndDrains(Revision after,
                                        PublishedPart& part) const {
   AddRoutesAfter(after, part.changes);
   drained_zones_.AddChangesAfter(after, part.changes);
@@ -486,24 +498,25 @@
   if (entry.missing_since) {
     return;
   }
-  if (entry.told_revision <= after) {
+  if (entry.forwarded_revision <= after) {
     if (part.whole) {
       part.present.push_back(entry.endpoint.spec.id);
     }
     return;
   }
-  PublishedEndpoint told = entry.endpoint;
-  told.cold_for =
-      std::max<Duration>(told.spec.cold_until - now, Duration::zero());
-  part.changes.items.push_back({entry.told_revision, std::move(told)});
-  // Each host waits by itself whether it stays.
+  PublishedEndpoint sent = entry.endpoint;
+  sent.cold_for =
+      std::max<Duration>(sent.spec.cold_until - now, Duration::zero());
+  part.changes.items.push_back({entry.forwarded_revision, std::move(sent)});
+  // Each host waits out kEarlierStartGrace by itself.
   if (entry.earlier_start) {
-    part.changes.items.push_back({entry.told_revision, *entry.earlier_start});
+    part.changes.items.push_back(
+        {entry.forwarded_revision, *entry.earlier_start});
   }
 }
 
-bool PublishedView::TakeMissesBook() {
-  return std::exchange(misses_book_, false);
+bool PublishedView::TakeNeedsFullBook() {
+  return std::exchange(needs_full_book_, false);
 }
 
 bool PublishedView::TakeChanged() {
--- a/fleet/published_view.h
+++ b/fleet/published_view.h
@@ -15,93 +15,100 @@
 
 namespace damasktack {
 
-// What a host believes to be published: merges whole reads and single changes.
-// Pure. Revisions and versions only go up, so an old read that arrives late, or
-// a store that answers from an old copy, brings nothing back.
+// Merges full reads and incremental changes into the published data as seen by
+// one host. It is a pure state machine. Revisions and versions only increase,
+// so a delayed read or a response from a stale replica cannot restore old data.
 class PublishedView {
  public:
-  // An endpoint that is missing after the store was away is kept this long:
-  // its lease may have run out although it lives, and it is published again
-  // within two seconds of the store's return. Long enough for most of these,
-  // short enough that one which is gone gets no calls for long.
+  // How long an endpoint that is missing after a store outage is kept. Its
+  // lease may have expired although it is alive, and it is published again
+  // within two seconds of the return of the store. The value covers most of
+  // these endpoints without sending requests to terminated ones for long.
   static constexpr Duration kMissingGrace = std::chrono::milliseconds(1500);
-  // A newer entry of an earlier start under the same id counts only if nothing
-  // has replaced it for this long. It is a late write of a process that has
-  // ended, as a rule, and the one that lives writes again within its heartbeat
-  // of 1.5 s; but a process whose clock is wrong must not be left out for good.
-  // Below the two seconds in which an endpoint that leaves must get no calls.
+  // How long a newer entry with an earlier start time must remain unreplaced
+  // before it is used. Such an entry is usually a late write of a terminated
+  // process, and the live process overwrites it with its next heartbeat after
+  // 1.5 s; but a process with a wrong clock must not be excluded forever. The
+  // value is below the two seconds after which a leaving endpoint must not
+  // receive requests.
   static constexpr Duration kEarlierStartGrace =
       std::chrono::milliseconds(1700);
 
-  // A whole read. Endpoints that it lacks are removed; where the store was out
-  // of reach before it, only after kMissingGrace.
+  // Applies a full read. Endpoints missing from it are removed; after a store
+  // outage only once kMissingGrace has passed.
   void TakeAll(const PublishedItems& all, bool after_outage, TimePoint now);
-  // Some of what is published; what is not in it may be so as well.
-  void TakeSome(const PublishedItems& some, TimePoint now);
-  // What a feeder tells of a range. Where it cannot name each removal,
-  // `present` has the endpoints that have not changed, else it is null: those
-  // missing are removed as above, and all drains of zones that are in force are
-  // in the first part. The last part brings this view up to its revision.
+  // Applies a partial read; endpoints missing from it are kept.
+  void ApplyPartialRead(const PublishedItems& some, TimePoint now);
+  // Applies the changes of one range received from a feeder. If the feeder does
+  // not know every removal, `present` lists the unchanged endpoints: missing
+  // ones are removed as above, and the first part contains all zone drains in
+  // force. Otherwise `present` is null. The last part advances this view to its
+  // revision.
   void TakePart(const EndpointRange& range,
                 const PublishedItems& changes,
                 const std::vector<EndpointId>* present,
                 bool after_outage,
                 TimePoint now);
-  // Changes from a watch.
+  // Applies changes returned by a watch.
   void TakeChanges(const PublishedItems& changes,
                    bool after_outage,
                    TimePoint now);
-  // Removes what has been missing for too long.
+  // Applies changes that are due by time: removes endpoints missing for
+  // kMissingGrace and accepts earlier starts after kEarlierStartGrace.
   void Advance(TimePoint now);
-  // When Advance has something to do next; null where nothing is missing.
+  // Returns when Advance has work to do next; null if no entry is pending.
   std::optional<TimePoint> NextChange() const;
 
-  // Null before the first that could be read.
+  // Null until valid routes have been read.
   const std::shared_ptr<const RouteBook>& routes() const { return routes_; }
   std::vector<PublishedEndpoint> Endpoints() const;
   const DrainedZones& drained_zones() const { return drained_zones_; }
   Revision revision() const { return revision_; }
-  // What has changed after a revision; all of it after 0.
+  // Returns all changes after a revision; everything for 0.
   PublishedItems ChangesAfter(Revision after, TimePoint now) const;
-  // What peers that know everything up to `after` have to hear, from the
-  // endpoints after `begin` on: about `most_entries` entries of endpoints,
-  // `present` ones and removals included, and one at least.
+  // Returns the changes for peers that have everything up to `after`, starting
+  // with the endpoints after `begin`. Contains at least one and at most about
+  // `max_entries` endpoint entries, counting IDs in `present` and removals.
   PublishedPart PartAfter(Revision after,
                           const EndpointId& begin,
-                          std::size_t most_entries,
+                          std::size_t max_entries,
                           TimePoint now) const;
-  // Whether these changes name every removal. A view that began later does not
-  // know what was removed before.
+  // Whether the changes after `after` contain every removal. A view that was
+  // created later does not know the earlier removals.
   bool KnowsRemovalsAfter(Revision after) const {
     return complete_after_ && after >= *complete_after_;
   }
-  // Whether something differs from the last call.
+  // Whether the view has changed since the last call.
   bool TakeChanged();
-  // Whether a change of a book came since the last call that is not the next
-  // one to the book held here: the whole book has to be asked for.
-  bool TakeMissesBook();
-  // Values refused since the last call, each once however often it is read.
+  // Whether, since the last call, a route change arrived whose base is not the
+  // current book, so that the full book must be requested.
+  bool TakeNeedsFullBook();
+  // Returns the errors of values rejected since the last call; each value is
+  // reported once, however often it is read.
   std::vector<Error> TakeRefused();
 
  private:
   struct Entry {
     PublishedEndpoint endpoint;
-    // Of the newest write. Most writes are heartbeats that change nothing a
-    // host goes by.
+    // Revision of the newest write. Most writes are heartbeats without a
+    // relevant change.
     Revision revision = 0;
-    // Of the newest write that peers have to hear of. An endpoint that started
-    // counts down with each heartbeat for how long it stays cold; sent on, that
-    // alone had each host hear of it twice more, and join its list anew.
-    Revision told_revision = 0;
+    // Revision of the newest write that peers must receive. An endpoint that
+    // has just started writes a decreasing cold time with each heartbeat;
+    // forwarding these writes sent each endpoint to every host twice more and
+    // made every host rebuild its endpoint list.
+    Revision forwarded_revision = 0;
     std::optional<TimePoint> missing_since;
-    // A newer entry of an earlier start, and since when nothing replaced it.
+    // A newer entry with an earlier start time, and since when no other entry
+    // has replaced it.
     std::optional<PublishedEndpoint> earlier_start;
     TimePoint earlier_start_since;
   };
 
-  void Take(const PublishedItem& item, bool after_outage, TimePoint now);
-  void TellAnew(const PublishedItem& item);
-  // What a whole read or its like names.
+  void Apply(const PublishedItem& item, bool after_outage, TimePoint now);
+  void MarkChangedForPeers(const PublishedItem& item);
+  // The endpoints and drained zones contained in a full read or a complete list
+  // of a range.
   struct Present {
     std::set<EndpointId> endpoints;
     std::set<ZoneId> drained;
@@ -113,13 +120,13 @@
               Revision current,
               bool after_outage,
               TimePoint now);
-  // Everything up to a revision has come.
-  void ReachWhole(Revision revision);
-  void TakeRoutes(const RouteBook& book, Revision revision);
-  void TakeRoutesChange(const RouteBookChange& change, Revision revision);
-  void RememberStep(const RouteBook& book, Revision revision);
+  // Records that the view is complete up to a revision.
+  void MarkCompleteAt(Revision revision);
+  void ApplyRoutes(const RouteBook& book, Revision revision);
+  void ApplyRoutesChange(const RouteBookChange& change, Revision revision);
+  void RecordBookTransition(const RouteBook& book, Revision revision);
   void AddRoutesAfter(Revision after, PublishedItems& out) const;
-  void AddAllButEndpoints(Revision after, PublishedPart& part) const;
+  void AddRoutesAndDrains(Revision after, PublishedPart& part) const;
   static void AddRemovalAfter(
       Revision after,
       const std::pair<const EndpointId, Revision>& removal,
@@ -128,43 +135,43 @@
                             const Entry& entry,
                             TimePoint now,
                             PublishedPart& part);
-  void TakeEndpoint(const PublishedEndpoint& endpoint,
-                    Revision revision,
-                    TimePoint now);
-  void TakeUnusable(const UnusableEndpoint& unusable, Revision revision);
-  void PutInForce(Entry& entry,
-                  const PublishedEndpoint& endpoint,
-                  TimePoint now);
-  void SetAsideEarlierStart(Entry& entry,
-                            const PublishedEndpoint& endpoint,
-                            TimePoint now);
-  void Remember(const EndpointId& removed, Revision revision);
-  void Miss(const EndpointId& id, bool after_outage, TimePoint now);
+  void ApplyEndpoint(const PublishedEndpoint& endpoint,
+                     Revision revision,
+                     TimePoint now);
+  void ApplyUnusable(const UnusableEndpoint& unusable, Revision revision);
+  void SetEndpoint(Entry& entry,
+                   const PublishedEndpoint& endpoint,
+                   TimePoint now);
+  void HoldEarlierStart(Entry& entry,
+                        const PublishedEndpoint& endpoint,
+                        TimePoint now);
+  void RecordRemoval(const EndpointId& removed, Revision revision);
+  void MarkMissing(const EndpointId& id, bool after_outage, TimePoint now);
 
   std::shared_ptr<const RouteBook> routes_;
   Revision routes_revision_ = 0;
-  struct BookStep {
-    // Of the book that the step begins at, and of the one that it leads to.
+  struct BookTransition {
+    // Revisions of the book before and after the change.
     Revision base = 0;
     Revision revision = 0;
     RouteBookChange change;
   };
 
-  // The steps that led to the book, one after the other, for peers that hold
-  // an earlier one.
-  std::deque<BookStep> book_steps_;
-  bool misses_book_ = false;
+  // Consecutive changes that lead to the current book, for peers that hold an
+  // earlier one.
+  std::deque<BookTransition> book_transitions_;
+  bool needs_full_book_ = false;
   std::map<EndpointId, Entry> endpoints_;
-  // Removed endpoints by the revision of their removal, so that an older read
-  // does not bring them back; and in the order of their removal, for the oldest
-  // to be forgotten first.
+  // Removed endpoints with the revision of their removal, so that an older read
+  // does not restore them; and ordered by that revision, to discard the oldest
+  // first.
   std::map<EndpointId, Revision> removed_;
   std::set<std::pair<Revision, EndpointId>> removal_order_;
-  // From which revision on `removed_` names all removals.
+  // `removed_` contains all removals after this revision.
   std::optional<Revision> complete_after_;
   DrainedZones drained_zones_;
   std::vector<Error> refused_;
-  // The last revision that was refused, so that it is told once.
+  // The last rejected revision of each endpoint, so that it is reported once.
   std::map<EndpointId, Revision> refused_endpoints_;
   std::optional<Error> unreadable_;
   Revision revision_ = 0;
--- a/fleet/read_budget.h
+++ b/fleet/read_budget.h
@@ -8,24 +8,25 @@
 
 namespace damasktack {
 
-// This host's part of the fleet's reads a second: a token bucket that refills
-// at fleet_rate / hosts. The sum over all hosts stays under the fleet's rate
-// plus one burst for each host, whatever they do at the same time. A watch
-// counts as one read, as the platform counts it.
+// Limits the platform reads of this host to its share of the rate of the fleet:
+// a token bucket that is refilled at fleet_rate / hosts. All hosts together
+// stay below the rate of the fleet plus one burst per host, whatever they do at
+// the same time. A watch counts as one read, as it does on the platform.
 class ReadBudget {
  public:
-  // Enough to read each document once and again at the start.
+  // Allows each document to be read twice at the start.
   static constexpr double kBurst = 6;
 
   explicit ReadBudget(double fleet_rate) : fleet_rate_(fleet_rate) {}
 
-  // Takes effect from now on; `hosts` is the length of the platform's list.
+  // Sets the number of hosts in the platform list, effective from `now`.
   void SetHosts(std::size_t hosts, TimePoint now) {
     Refill(now);
     hosts_ = std::max<std::size_t>(hosts, 1);
   }
 
-  // Takes one read, or none: then the result is how long until there is one.
+  // Takes one read from the budget and returns zero, or returns the time until
+  // a read is available.
   Duration Take(TimePoint now) {
     Refill(now);
     if (tokens_ >= 1) {
--- a/fleet/read_schedule.cc
+++ b/fleet/read_schedule.cc
@@ -35,8 +35,8 @@
   due_ = reader_ ? now : now + SafetyRead();
 }
 
-// While the platform is down only readers go on asking, ever more slowly, and
-// each at times of its own: its return meets no crowd.
+// While the platform is down only readers retry, at increasing and random
+// intervals, so that its return does not cause a burst of reads.
 void ReadSchedule::Failed(TimePoint now) {
   backoff_ = std::clamp(2 * backoff_, options_.shortest_backoff,
                         options_.longest_backoff);
--- a/fleet/read_schedule.h
+++ b/fleet/read_schedule.h
@@ -6,44 +6,46 @@
 
 namespace damasktack {
 
-// Above this many hosts each reads less often, so that all safety reads
-// together stay as many.
+// Above this fleet size each host makes safety reads less often, so that their
+// total rate stays constant.
 inline constexpr std::size_t kSafetyReadHosts = 16;
 
 struct ReadScheduleOptions {
-  // Between failed reads; doubled from the first to the second, jittered.
+  // Backoff after failed reads: doubled from the shortest to the longest, with
+  // jitter.
   Duration shortest_backoff = std::chrono::milliseconds(500);
   Duration longest_backoff = std::chrono::seconds(30);
-  // How often a host that is no reader reads all the same, on average; more
-  // rarely in a fleet of over kSafetyReadHosts.
+  // Average interval at which a host that is not a reader reads nevertheless;
+  // longer in a fleet of more than kSafetyReadHosts hosts.
   Duration safety_read = std::chrono::minutes(5);
-  // A host that starts or becomes a reader waits up to this long, so that a
-  // fleet that starts at once does not read in one moment.
+  // Reads are spread over this time after a host starts or becomes a reader, so
+  // that the hosts of a fleet that starts at once do not read simultaneously.
   Duration start_spread = std::chrono::milliseconds(300);
 };
 
-// When one host reads one document next. Pure.
+// Schedules the reads of one document on one host. It is a pure state machine.
 class ReadSchedule {
  public:
   ReadSchedule(ReadScheduleOptions options, std::uint64_t random_seed);
 
-  // The next read; TimePoint::min() means at once.
+  // Returns the time of the next read; TimePoint::min() means at once.
   TimePoint due() const { return due_; }
 
   void Start(TimePoint now);
   void SetReader(bool reader, TimePoint now);
-  // The length of the platform's list.
+  // Sets the number of hosts in the platform list.
   void SetHosts(std::size_t hosts) { hosts_ = hosts; }
-  // Reads soon whatever the role: this host has to check what it believes.
+  // Schedules a read soon, whatever the role of the host, to check its data.
   void ReadSoon(TimePoint now);
-  // The platform answered, with a new value or with none.
+  // The platform answered, with or without a new value.
   void Answered(TimePoint now);
-  // It did not, or with a value that is no use: older, or refused.
+  // The platform did not answer, or returned an unusable value: an older or a
+  // rejected one.
   void Failed(TimePoint now);
 
  private:
   Duration SafetyRead();
-  // From half of `time` to one and a half.
+  // Returns a random duration between half and one and a half times `time`.
   Duration Jittered(Duration time);
 
   const ReadScheduleOptions options_;
--- a/fleet/reader_election.cc
+++ b/fleet/reader_election.cc
@@ -22,9 +22,9 @@
 
 }  // namespace
 
-std::vector<HostId> ReadersOf(const HostView& view,
-                              const ZoneId& zone,
-                              std::size_t count) {
+std::vector<HostId> ElectReaders(const HostView& view,
+                                 const ZoneId& zone,
+                                 std::size_t count) {
   std::vector<Candidate> candidates;
   for (const PeerView& it : view.peers) {
     if (it.zone == zone && it.reachable && it.listed == ListedState::kLive) {
@@ -53,7 +53,7 @@
   if (!view.listed) {
     return true;
   }
-  const std::vector<HostId> readers = ReadersOf(view, view.self_zone);
+  const std::vector<HostId> readers = ElectReaders(view, view.self_zone);
   return std::ranges::find(readers, view.self) != readers.end();
 }
 
--- a/fleet/reader_election.h
+++ b/fleet/reader_election.h
@@ -10,15 +10,16 @@
 
 inline constexpr std::size_t kReadersPerZone = 2;
 
-// The hosts of `zone` that watch the platform by this view, best first: live,
-// reachable (or this host), highest rendezvous hash of host and zone. Two views
-// that differ name a few readers more; nothing rests on their being equal.
-std::vector<HostId> ReadersOf(const HostView& view,
-                              const ZoneId& zone,
-                              std::size_t count = kReadersPerZone);
-
-// Whether this host watches the platform. A host that knows no list, or that
-// the list does not name, watches too: nobody else is known to do it for it.
+// Returns the hosts of `zone` that watch the platform according to this view,
+// best first: live, reachable (or this host), with the highest rendezvous hash
+// of host and zone. Different views only elect a few additional readers, so
+// they need not be equal.
+std::vector<HostId> ElectReaders(const HostView& view,
+                                 const ZoneId& zone,
+                                 std::size_t count = kReadersPerZone);
+
+// Whether this host watches the platform. A host without a list, or not in the
+// list, watches as well, because no other host is known to do so on its behalf.
 bool IsReader(const HostView& view);
 
 }  // namespace damasktack
--- a/fleet/route_messages.cc
+++ b/fleet/route_messages.cc
@@ -12,9 +12,9 @@
 using detail::ReadTime;
 using detail::ToMicroseconds;
 
-constexpr std::int64_t kMostCount = 1'000'000'000'000;
+constexpr std::int64_t kMaxCount = 1'000'000'000'000;
 
-// One target as a list of its service and weight.
+// Encodes a target as a pair of its service and weight.
 Json ToPair(const RouteTarget& target) {
   return Json::array({target.service.text(), target.weight});
 }
@@ -27,7 +27,7 @@
       pair[1].is_number_integer() && pair[1].get<std::int64_t>() >= 0;
   if (!is_pair) {
     return Fail(ErrorKind::kWrongType, path,
-                "something else than a service and a weight",
+                "not a pair of a service and a weight",
                 "check that the sender is a daemon of this system");
   }
   return RouteTarget{ServiceId(pair[0].get<std::string>()),
@@ -107,10 +107,10 @@
   JsonReader reader(json, path);
   reader.Read("id", id);
   reader.Read("health_path", service.health_path);
-  reader.Read("connections", service.connections, 1, kMostCount);
+  reader.Read("connections", service.connections, 1, kMaxCount);
   ReadTime(reader, "cold_us", service.cold_time);
   reader.ReadOptional("cold_rate", service.cold_rate, 0,
-                      static_cast<double>(kMostCount));
+                      static_cast<double>(kMaxCount));
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   service.id = ServiceId(id);
   return service;
@@ -127,8 +127,8 @@
                                        const std::string& path) {
   CallerLimits limits;
   JsonReader reader(json, path);
-  reader.Read("header_bytes", limits.header_bytes, 1, kMostCount);
-  reader.Read("body_bytes", limits.body_bytes, 0, kMostCount);
+  reader.Read("header_bytes", limits.header_bytes, 1, kMaxCount);
+  reader.Read("body_bytes", limits.body_bytes, 0, kMaxCount);
   ReadTime(reader, "header_us", limits.header_timeout);
   ReadTime(reader, "idle_us", limits.idle_timeout);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
--- a/fleet/route_messages.h
+++ b/fleet/route_messages.h
@@ -8,9 +8,9 @@
 
 namespace damasktack {
 
-// How books of routes, and steps between them, are written in messages between
-// hosts: routes as a table, since a seed sends a large book to many hosts at
-// once.
+// Encodes route books, and changes between them, for messages between hosts.
+// Routes are written as a table, because a seed sends a large book to many
+// hosts at once.
 Json ToJson(const RouteBook& book);
 leaf::result<RouteBook> ParseRouteBook(const Json& json,
                                        const std::string& path);
--- a/fleet/seed_order.cc
+++ b/fleet/seed_order.cc
@@ -11,7 +11,7 @@
 namespace {
 
 struct SeedPreference {
-  std::ptrdiff_t differs_at = 0;
+  std::ptrdiff_t neg_common_prefix = 0;
   std::uint64_t hash = 0;
 
   auto operator<=>(const SeedPreference&) const = default;
@@ -20,17 +20,17 @@
 SeedPreference PreferenceOf(const HostId& host,
                             const SocketAddress& own,
                             const SocketAddress& seed) {
-  const auto differs =
+  const auto common_prefix =
       std::ranges::mismatch(own.ip, seed.ip).in1 - own.ip.begin();
   const std::string text = host.text() + " " + ToString(seed);
-  return {-differs, XXH3_64bits(text.data(), text.size())};
+  return {-common_prefix, XXH3_64bits(text.data(), text.size())};
 }
 
 }  // namespace
 
-std::vector<SocketAddress> InOrderFor(const HostId& host,
-                                      const SocketAddress& own,
-                                      std::vector<SocketAddress> seeds) {
+std::vector<SocketAddress> OrderSeedsFor(const HostId& host,
+                                         const SocketAddress& own,
+                                         std::vector<SocketAddress> seeds) {
   std::ranges::sort(seeds, {}, [&](const SocketAddress& it) {
     return PreferenceOf(host, own, it);
   });
--- a/fleet/seed_order.h
+++ b/fleet/seed_order.h
@@ -8,13 +8,13 @@
 
 namespace damasktack {
 
-// The seeds in the order in which one host turns to them: those first whose
-// address begins like the host's own, since networks number zones so and bytes
-// between zones are billed; among these by a hash, which spreads the hosts over
-// the seeds.
-std::vector<SocketAddress> InOrderFor(const HostId& host,
-                                      const SocketAddress& own,
-                                      std::vector<SocketAddress> seeds);
+// Returns the seeds in the order in which a host tries them: first those whose
+// address shares the longest prefix with its own, because networks number zones
+// this way and traffic between zones is billed; then by a hash, which
+// distributes the hosts over the seeds.
+std::vector<SocketAddress> OrderSeedsFor(const HostId& host,
+                                         const SocketAddress& own,
+                                         std::vector<SocketAddress> seeds);
 
 }  // namespace damasktack
 
--- a/tests/fleet/fake_fleet.h
+++ b/tests/fleet/fake_fleet.h
@@ -15,8 +15,8 @@
 
 namespace damasktack {
 
-// Hosts in memory that exchange messages through a network that loses, delays,
-// repeats and reorders them. Module is a FleetModule.
+// Simulates hosts that exchange messages over an in-memory network that loses,
+// delays, repeats and reorders them. Module is a FleetModule.
 template <typename Module>
 class FakeFleet {
  public:
@@ -25,7 +25,7 @@
     Incarnation incarnation = 0;
     std::unique_ptr<Module> module;
     std::optional<TimePoint> paused_until;
-    // Indexes that this host's list names.
+    // Indexes of the hosts in the list of this host.
     std::set<std::size_t> listed;
   };
   using Make = std::function<std::unique_ptr<Module>(HostId, Incarnation)>;
@@ -69,7 +69,7 @@
     ShowView(at);
   }
   void SetLoss(unsigned percent) { loss_percent_ = percent; }
-  // Says goodbye to everyone and ends.
+  // Sends a goodbye to all hosts and ends the process.
   void Leave(std::size_t n) {
     Outbox out;
     for (const Host& it : hosts_) {
@@ -81,7 +81,7 @@
     Crash(n);
   }
 
-  // Time goes on by `step`; due messages arrive and hosts tick.
+  // Advances the time by `step`, delivers due messages and ticks the hosts.
   void Advance(Duration step) {
     now_ += step;
     for (std::size_t n = 0; n < hosts_.size(); ++n) {
@@ -109,7 +109,7 @@
   TimePoint now() const { return now_; }
   Random& random() { return random_; }
   std::uint64_t sent() const { return sent_; }
-  // Called with every message that is sent.
+  // Sets a function that is called with every sent message.
   void OnSent(std::function<void(const PeerMessage&)> hook) {
     hook_ = std::move(hook);
   }
@@ -144,7 +144,7 @@
     view.listed = true;
     for (const std::size_t it : hosts_[n].listed) {
       if (it != n) {
-        // A link tells which process it leads to.
+        // A link reveals the process at its other end.
         const bool linked = !cut_[n][it] && Alive(it);
         view.peers.push_back({hosts_[it].id,
                               linked ? hosts_[it].incarnation : 0, ZoneId("z"),
@@ -162,7 +162,7 @@
   }
 
  private:
-  struct Letter {
+  struct Packet {
     TimePoint due;
     std::size_t from = 0;
     std::size_t to = 0;
@@ -181,26 +181,28 @@
                std::size_t to,
                const Sender& sender,
                PeerMessage message) {
-    // One in twenty is late enough to be overtaken by many others.
+    // One in twenty messages is delayed long enough to be overtaken by many
+    // others.
     const bool late = loss_percent_ > 0 && UniformBelow(random_, 20) == 0;
-    const std::uint32_t most = late ? 3'000'000 : 3'000;
-    const std::chrono::microseconds delay(500 + UniformBelow(random_, most));
-    letters_.push_back({now_ + delay, from, to, sender, std::move(message)});
+    const std::uint32_t max_delay_us = late ? 3'000'000 : 3'000;
+    const std::chrono::microseconds delay(500 +
+                                          UniformBelow(random_, max_delay_us));
+    packets_.push_back({now_ + delay, from, to, sender, std::move(message)});
   }
 
   void Deliver() {
-    std::vector<Letter> due;
-    std::vector<Letter> later;
-    for (Letter& it : letters_) {
+    std::vector<Packet> due;
+    std::vector<Packet> later;
+    for (Packet& it : packets_) {
       const bool waits = it.due > now_ || (Alive(it.to) && !Awake(it.to));
       (waits ? later : due).push_back(std::move(it));
     }
-    letters_ = std::move(later);
+    packets_ = std::move(later);
     std::sort(due.begin(), due.end(),
-              [](const Letter& a, const Letter& b) { return a.due < b.due; });
-    for (const Letter& it : due) {
-      // A link belongs to one process: once the next one is there, nothing
-      // more comes from the one before.
+              [](const Packet& a, const Packet& b) { return a.due < b.due; });
+    for (const Packet& it : due) {
+      // A link belongs to one process: no message of a previous process arrives
+      // after it was replaced.
       const bool replaced = Alive(it.from) && hosts_[it.from].incarnation !=
                                                   it.sender.incarnation;
       if (!Awake(it.to) || cut_[it.from][it.to] || replaced) {
@@ -216,7 +218,7 @@
   Random random_;
   std::vector<Host> hosts_;
   std::vector<std::vector<bool>> cut_;
-  std::vector<Letter> letters_;
+  std::vector<Packet> packets_;
   std::function<void(const PeerMessage&)> hook_;
   TimePoint now_ = TimePoint(std::chrono::hours(1));
   Incarnation last_incarnation_ = 0;
