--- a/contract/contract.h
+++ b/contract/contract.h
@@ -19,13 +19,13 @@
 std::string_view ToString(Urgency urgency);
 
 // What happens to a customer's call that finds no free capacity.
-enum class ShortageTreatment : std::uint8_t {
+enum class OverloadPolicy : std::uint8_t {
   // It waits for a slot until its deadline.
   kWait,
   // It is refused at once as not run.
   kShed,
 };
-std::string_view ToString(ShortageTreatment treatment);
+std::string_view ToString(OverloadPolicy treatment);
 
 // Fleet-wide bounds on one customer's traffic; 0 means "no bound".
 struct CustomerLimits {
@@ -63,7 +63,7 @@
   std::vector<std::string> key_sha256;
   // Weight against other customers of the same urgency.
   std::int64_t share = 1;
-  ShortageTreatment when_short = ShortageTreatment::kWait;
+  OverloadPolicy overload_policy = OverloadPolicy::kWait;
   CustomerLimits limits;
   // Repeated sends allowed, as percent of first sends.
   std::int64_t retry_percent = 10;
--- a/contract/contract_check.h
+++ b/contract/contract_check.h
@@ -29,8 +29,8 @@
 // That every service a contract names is published. A daemon doesn't refuse
 // contracts over this, since the two documents change one after the other;
 // operators check it before publishing.
-leaf::result<void> CheckReferences(const ContractBook& contracts,
-                                   const ServiceBook& services);
+leaf::result<void> CheckReferences(const ContractList& contracts,
+                                   const ServiceList& services);
 
 }  // namespace damasktack
 
--- a/contract/contract_diff.cc
+++ b/contract/contract_diff.cc
@@ -115,8 +115,8 @@
   FieldList fields;
   fields.Compare("share", std::to_string(before.share),
                  std::to_string(after.share));
-  fields.Compare("when_short", std::string(ToString(before.when_short)),
-                 std::string(ToString(after.when_short)));
+  fields.Compare("when_short", std::string(ToString(before.overload_policy)),
+                 std::string(ToString(after.overload_policy)));
   fields.Compare("limits.calls_per_second",
                  BoundText(before.limits.calls_per_second),
                  BoundText(after.limits.calls_per_second));
@@ -168,8 +168,8 @@
       if (same && change.share_before == change.share_after) {
         continue;
       }
-      change.kind =
-          same ? ContractChangeKind::kDisplaced : ContractChangeKind::kChanged;
+      change.kind = same ? ContractChangeKind::kShareChanged
+                         : ContractChangeKind::kChanged;
     }
     changes.push_back(std::move(change));
   }
--- a/contract/contract_diff.h
+++ b/contract/contract_diff.h
@@ -26,7 +26,7 @@
   kChanged,
   // Its own contract is the same, but other customers' shares are not, and so
   // it gets another part of a full service.
-  kDisplaced,
+  kShareChanged,
 };
 std::string_view ToString(ContractChangeKind kind);
 
--- a/contract/document.h
+++ b/contract/document.h
@@ -19,7 +19,7 @@
 // Numbers that the platform gives each published value; they only go up.
 using Revision = std::uint64_t;
 
-// One published value as text, not yet checked. At most kLargestDocument.
+// One published value as text, not yet checked. At most kMaxDocumentBytes.
 struct Document {
   DocumentName name = DocumentName::kContracts;
   Revision revision = 0;
@@ -28,14 +28,14 @@
   bool operator==(const Document&) const = default;
 };
 
-inline constexpr std::size_t kLargestDocument = 1'000'000;
+inline constexpr std::size_t kMaxDocumentBytes = 1'000'000;
 
-struct ContractBook {
+struct ContractList {
   Revision revision = 0;
   std::vector<Contract> contracts;
 };
 
-struct ServiceBook {
+struct ServiceList {
   Revision revision = 0;
   std::vector<ServiceSpec> services;
 };
@@ -47,8 +47,8 @@
 
 // Each checks the whole value; the first fault refuses all of it, so that
 // the last good value stays in force.
-leaf::result<ContractBook> ParseContracts(const Document& document);
-leaf::result<ServiceBook> ParseServices(const Document& document);
+leaf::result<ContractList> ParseContracts(const Document& document);
+leaf::result<ServiceList> ParseServices(const Document& document);
 leaf::result<HostList> ParseHosts(const Document& document);
 
 }  // namespace damasktack
--- a/contract/protocol_names.h
+++ b/contract/protocol_names.h
@@ -63,16 +63,16 @@
   // What an endpoint says of itself is in headers that begin so.
   std::vector<std::string> endpoint_prefixes{"Endpoint-"};
   // Requests' headers that begin so are damasktack's own and not passed on.
-  std::string own_prefix = "Damasktack-";
+  std::string own_header_prefix = "Damasktack-";
 
   // Callers name their calls themselves, and endpoints repeat the name.
-  bool callers_name_calls = false;
+  bool callers_assign_call_ids = false;
   // An endpoint may answer a call twice; an answer that names another call is
   // passed over, and the call's own may follow.
-  bool answers_may_be_doubled = false;
+  bool may_duplicate_responses = false;
   // An answer without a length ends with its connection, where that is closed
   // in order; a reset means that it was cut short.
-  bool answers_may_end_with_connection = false;
+  bool response_may_end_at_close = false;
   // Retry-After may be a fraction of a second.
   bool fractional_retry_after = false;
   // A caller's connection that stays idle is closed without a word, because a
@@ -80,7 +80,7 @@
   bool closes_idle_silently = false;
   // The load header is "running,waiting,slots[,pace]" and not the product's
   // own list of names and figures.
-  bool load_is_list = false;
+  bool positional_load_header = false;
 };
 
 }  // namespace damasktack
--- a/contract/route.cc
+++ b/contract/route.cc
@@ -8,12 +8,12 @@
 
 namespace {
 
-bool IsService(const RouteBook& book, const ServiceId& id) {
+bool IsService(const RouteTable& book, const ServiceId& id) {
   return std::ranges::any_of(
       book.services, [&](const ServiceTraits& it) { return it.id == id; });
 }
 
-leaf::result<void> CheckTargets(const RouteBook& book,
+leaf::result<void> CheckTargets(const RouteTable& book,
                                 const Route& route,
                                 const std::string& where) {
   std::int64_t sum = 0;
@@ -37,7 +37,7 @@
   return {};
 }
 
-leaf::result<void> CheckRoute(const RouteBook& book, const Route& route) {
+leaf::result<void> CheckRoute(const RouteTable& book, const Route& route) {
   const std::string where = "route " + route.contract.customer.text();
   if (route.host.empty()) {
     return Fail(ErrorKind::kMissingKey, where, "no host",
@@ -51,9 +51,9 @@
     return Fail(ErrorKind::kOutOfRange, where, "no timeout",
                 "give the route a timeout above 0");
   }
-  if (route.most_sends < 1) {
+  if (route.attempt_limit < 1) {
     return Fail(ErrorKind::kOutOfRange, where,
-                std::to_string(route.most_sends) + " sends",
+                std::to_string(route.attempt_limit) + " sends",
                 "allow at least one send");
   }
   return CheckTargets(book, route, where);
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-leaf::result<void> CheckRouteBook(const RouteBook& book) {
+leaf::result<void> CheckRouteTable(const RouteTable& book) {
   if (book.version == 0) {
     return Fail(ErrorKind::kMissingKey, "route book", "no version",
                 "publish a version above 0");
@@ -72,7 +72,7 @@
   return {};
 }
 
-void RankByService(RouteBook& book, const std::vector<std::int64_t>& ranks) {
+void AssignUrgencies(RouteTable& book, const std::vector<std::int64_t>& ranks) {
   // The ranks that compete at each service. Comparing each route with every
   // other took half of the time in which a host reads a book of 1,600 routes.
   std::map<ServiceId, std::set<std::int64_t>> ranks_at;
--- a/contract/route.h
+++ b/contract/route.h
@@ -36,7 +36,7 @@
   // An answer within this time is on time.
   Duration latency_objective = std::chrono::seconds(1);
   // Endpoints that one request may be sent to, one after the other.
-  int most_sends = 2;
+  int attempt_limit = 2;
   // Where its requests may be worked on; anywhere if there is none.
   std::vector<RegionId> allowed_regions;
   // At least one; their weights add up to more than 0.
@@ -74,25 +74,25 @@
 };
 
 // All routes as one version has them.
-struct RouteBook {
+struct RouteTable {
   // Goes up with each change, in uneven steps.
   std::uint64_t version = 0;
   std::vector<Route> routes;
   std::vector<ServiceTraits> services;
   CallerLimits limits;
 
-  bool operator==(const RouteBook&) const = default;
+  bool operator==(const RouteTable&) const = default;
 };
 
 // Refuses a book that could not be followed: a prefix without its slashes, a
 // route without a target, a target that is no service of the book, a timeout
 // that is not above zero.
-leaf::result<void> CheckRouteBook(const RouteBook& book);
+leaf::result<void> CheckRouteTable(const RouteTable& book);
 
 // Sets each route's urgency by how its `ranks` entry (lower goes first)
 // compares with those of the routes to the same services: requests compete
 // only within a service.
-void RankByService(RouteBook& book, const std::vector<std::int64_t>& ranks);
+void AssignUrgencies(RouteTable& book, const std::vector<std::int64_t>& ranks);
 
 // One endpoint as the platform publishes it.
 struct PublishedEndpoint {
--- a/contract/route_book_change.cc
+++ b/contract/route_table_delta.cc
@@ -1,4 +1,4 @@
-#include "contract/route_book_change.h"
+#include "contract/route_table_delta.h"
 
 #include <map>
 #include <utility>
@@ -11,7 +11,7 @@
   return {route.host, route.prefix};
 }
 
-std::map<RouteKey, const Route*> ByKey(const RouteBook& book) {
+std::map<RouteKey, const Route*> ByKey(const RouteTable& book) {
   std::map<RouteKey, const Route*> routes;
   for (const Route& it : book.routes) {
     routes.emplace(KeyOf(it), &it);
@@ -21,8 +21,9 @@
 
 }  // namespace
 
-RouteBookChange CompareBooks(const RouteBook& base, const RouteBook& book) {
-  RouteBookChange change;
+RouteTableDelta DiffRouteTables(const RouteTable& base,
+                                const RouteTable& book) {
+  RouteTableDelta change;
   change.base_version = base.version;
   change.version = book.version;
   change.services = book.services;
@@ -43,7 +44,7 @@
   return change;
 }
 
-RouteBook ApplyChange(const RouteBook& base, const RouteBookChange& change) {
+RouteTable ApplyChange(const RouteTable& base, const RouteTableDelta& change) {
   std::map<RouteKey, const Route*> routes = ByKey(base);
   for (const Route& it : change.changed) {
     routes[KeyOf(it)] = &it;
@@ -51,7 +52,7 @@
   for (const RouteKey& it : change.removed) {
     routes.erase(it);
   }
-  RouteBook book;
+  RouteTable book;
   book.version = change.version;
   book.services = change.services;
   book.limits = change.limits;
--- a/contract/route_book_change.h
+++ b/contract/route_table_delta.h
@@ -1,5 +1,5 @@
-#ifndef CONTRACT_ROUTE_BOOK_CHANGE_H_
-#define CONTRACT_ROUTE_BOOK_CHANGE_H_
+#ifndef CONTRACT_ROUTE_TABLE_DELTA_H_
+#define CONTRACT_ROUTE_TABLE_DELTA_H_
 
 #include <cstdint>
 #include <string>
@@ -20,7 +20,7 @@
 // The step from one version of a book to a later one. A book of 1,600 routes
 // is 300 KB and changes by a few routes at a time: sent whole to each host it
 // keeps a link of 10 Mbit/s busy for a quarter of a second.
-struct RouteBookChange {
+struct RouteTableDelta {
   std::uint64_t base_version = 0;
   std::uint64_t version = 0;
   // Routes that are new or differ.
@@ -30,17 +30,17 @@
   std::vector<ServiceTraits> services;
   CallerLimits limits;
 
-  bool operator==(const RouteBookChange&) const = default;
+  bool operator==(const RouteTableDelta&) const = default;
 };
 
 // The step between two books. Routes are compared by host and prefix; of two
 // under one name the first counts, as it does for requests.
-RouteBookChange CompareBooks(const RouteBook& base, const RouteBook& book);
+RouteTableDelta DiffRouteTables(const RouteTable& base, const RouteTable& book);
 
 // The book after the change, routes in the order of their names. The caller
 // has made sure that `base` has the version that the change begins at.
-RouteBook ApplyChange(const RouteBook& base, const RouteBookChange& change);
+RouteTable ApplyChange(const RouteTable& base, const RouteTableDelta& change);
 
 }  // namespace damasktack
 
-#endif  // CONTRACT_ROUTE_BOOK_CHANGE_H_
+#endif  // CONTRACT_ROUTE_TABLE_DELTA_H_
--- a/contract/service.h
+++ b/contract/service.h
@@ -40,7 +40,7 @@
   TimePoint cold_until{};
 
   // Whether new calls may go there by what is published.
-  bool MayTakeCalls() const {
+  bool AcceptsNewCalls() const {
     return state == ListedState::kLive && !zone_drained;
   }
 
--- a/core/bound_chart.h
+++ b/core/bound_chart.h
@@ -45,7 +45,7 @@
   static constexpr std::size_t kStates = ChartNames<State>::kNames.size();
   static constexpr std::size_t kEvents = ChartNames<Event>::kNames.size();
 
-  // Refuses with kUnsoundChart where chart and enums name different things.
+  // Refuses with kInvalidChart where chart and enums name different things.
   static leaf::result<BoundChart> Bind(const StateChart& chart);
 
   // For a chart that the binary carries: ends the process with the error on
--- a/core/error.h
+++ b/core/error.h
@@ -24,7 +24,7 @@
   kInvalidAddress,
   kDuplicate,
   kUnknownReference,
-  kUnsoundChart,
+  kInvalidChart,
   kFileUnreadable,
   kUnreachable,
   kTimeout,
@@ -83,7 +83,7 @@
 // succeeds. For code that passes on an error in another form: a handler of
 // LEAF that itself fails would have its new error replaced by the old one.
 template <typename Body>
-std::optional<Error> FaultOf(Body&& body) {
+std::optional<Error> CaptureError(Body&& body) {
   return Try(
       [&]() -> leaf::result<std::optional<Error>> {
         BOOST_LEAF_CHECK(std::forward<Body>(body)());
--- a/core/state_chart.h
+++ b/core/state_chart.h
@@ -26,7 +26,7 @@
 // states are never left and one of them can be reached from everywhere.
 class StateChart {
  public:
-  // `where` names the source in errors, which are of kind kUnsoundChart
+  // `where` names the source in errors, which are of kind kInvalidChart
   // unless the text is no JSON of the expected form.
   static leaf::result<StateChart> Parse(std::string_view text,
                                         std::string_view where);
--- a/core/tcp_liveness.cc
+++ b/core/tcp_liveness.cc
@@ -19,7 +19,8 @@
 
 }  // namespace
 
-void EndLostConnection(int socket, std::chrono::milliseconds unacknowledged) {
+void EnableLostConnectionDetection(int socket,
+                                   std::chrono::milliseconds unacknowledged) {
   Set(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
   Set(socket, IPPROTO_TCP, TCP_KEEPIDLE, kIdleSeconds);
   Set(socket, IPPROTO_TCP, TCP_KEEPINTVL, kIntervalSeconds);
--- a/core/tcp_liveness.h
+++ b/core/tcp_liveness.h
@@ -11,7 +11,8 @@
 // `unacknowledged`, an idle one about two seconds after it was lost. The
 // peer's slowness does not count, as its kernel acknowledges for it. Costs no
 // wake-ups of this process.
-void EndLostConnection(int socket, std::chrono::milliseconds unacknowledged);
+void EnableLostConnectionDetection(int socket,
+                                   std::chrono::milliseconds unacknowledged);
 
 }  // namespace damasktack
 
--- a/fleet/feed_options.h
+++ b/fleet/feed_options.h
@@ -24,7 +24,7 @@
   Duration stale = std::chrono::milliseconds(1400);
   Duration seed_stale = std::chrono::milliseconds(1000);
   // How long a starting host waits for an update before it reads the store.
-  Duration start_patience = std::chrono::milliseconds(250);
+  Duration initial_feed_timeout = std::chrono::milliseconds(250);
   // Whether a starting host first reads from any replica of the store: the
   // routes and a part of the endpoints, with which it serves requests, then all
   // endpoints. After a power loss all hosts start together and no host can feed
--- a/fleet/fleet_core.h
+++ b/fleet/fleet_core.h
@@ -8,7 +8,7 @@
 
 #include "fleet/crash_exchange.h"
 #include "fleet/document_store.h"
-#include "fleet/drain_sightings.h"
+#include "fleet/drain_observations.h"
 #include "fleet/endpoint_rate_exchange.h"
 #include "fleet/fleet_claim_gate.h"
 #include "fleet/fleet_limit_gate.h"
@@ -37,7 +37,7 @@
 struct FleetCounters {
   std::uint64_t messages_received = 0;
   // Messages from a process other than the linked one, or from an unknown host.
-  std::uint64_t messages_unheard = 0;
+  std::uint64_t messages_unknown_sender = 0;
   // Messages of an unknown kind or a newer protocol version.
   std::uint64_t messages_ignored = 0;
   std::uint64_t messages_malformed = 0;
@@ -61,22 +61,22 @@
   void Offer(Document document, DocumentOrigin origin, TimePoint now);
   // The platform has answered a read of the document that was sent under this
   // check, or the read has failed.
-  void PlatformAsked(DocumentName name, std::uint64_t check, TimePoint now);
+  void OnPlatformQueried(DocumentName name, std::uint64_t check, TimePoint now);
   // An endpoint has reported to this host that it is draining.
-  void DrainSighted(const DrainSighting& sighting, TimePoint now) {
-    drains_.Sighted(sighting, now, out_);
+  void OnDrainObserved(const DrainObservation& sighting, TimePoint now) {
+    drains_.OnObserved(sighting, now, out_);
   }
   // Returns the drains reported by peers since the last call.
-  std::set<DrainSighting> TakeHeardDrains() { return drains_.TakeHeard(); }
+  std::set<DrainObservation> TakePeerDrains() { return drains_.TakeReceived(); }
   void Tick(TimePoint now);
 
   // The process was suspended, so its data may be outdated. It is not ready
   // until it has queried the platform and the peers again.
   void OnLateWake(TimePoint now);
   void SetLeaving(TimePoint now);
-  void SayGoodbye();
+  void SendGoodbye();
   // Processes the requests that request threads have queued at the claim gate.
-  void ServeClaims(TimePoint now);
+  void ProcessClaims(TimePoint now);
   // The operator confirms that the last known process of `host` has ended.
   void ConfirmGone(const HostId& host);
 
@@ -126,7 +126,7 @@
   const FleetCoreOptions options_;
   Membership membership_;
   DocumentStore documents_;
-  DrainSightings drains_;
+  DrainObservations drains_;
   // Null without a quarantine.
   std::optional<CrashExchange> crashes_;
   // Null if endpoint rates are not exchanged.
--- a/fleet/feed_seating.cc
+++ b/fleet/host_number_allocator.cc
@@ -1,4 +1,4 @@
-#include "fleet/feed_seating.h"
+#include "fleet/host_number_allocator.h"
 
 #include <algorithm>
 #include <bit>
@@ -15,14 +15,14 @@
 
 }  // namespace
 
-void FeedSeating::SetRank(std::optional<std::int64_t> rank,
-                          std::int64_t seeds) {
+void HostNumberAllocator::SetRank(std::optional<std::int64_t> rank,
+                                  std::int64_t seeds) {
   rank_ = rank;
   seeds_ = std::max<std::int64_t>(seeds, 1);
   GrowNumberLimit(0);
 }
 
-void FeedSeating::GrowNumberLimit(std::int64_t max_index) {
+void HostNumberAllocator::GrowNumberLimit(std::int64_t max_index) {
   const std::int64_t indexes = std::min(max_index, kMaxIndex) + 1;
   const std::int64_t needed = seeds_ * indexes;
   const auto step = static_cast<std::int64_t>(std::max<std::uint64_t>(
@@ -31,15 +31,15 @@
   number_limit_ = std::max(number_limit_, (needed + step - 1) / step * step);
 }
 
-bool FeedSeating::IsFree(std::int64_t index) const {
+bool HostNumberAllocator::IsFree(std::int64_t index) const {
   return std::ranges::none_of(reservations_, [index](const auto& it) {
     return it.second.index == index;
   });
 }
 
-std::int64_t FeedSeating::AssignIndex(const HostId& host,
-                                      const FleetSeat& claimed,
-                                      TimePoint now) {
+std::int64_t HostNumberAllocator::AssignIndex(const HostId& host,
+                                              const HostNumber& claimed,
+                                              TimePoint now) {
   std::erase_if(reservations_, [&](const auto& it) {
     return it.first != host && now - it.second.heard_at >= kReservation;
   });
@@ -61,45 +61,46 @@
   return index;
 }
 
-FleetSeat FeedSeating::AssignNumber(const HostId& host,
-                                    const FleetSeat& claimed,
-                                    std::int64_t others,
-                                    TimePoint now) {
+HostNumber HostNumberAllocator::AssignNumber(const HostId& host,
+                                             const HostNumber& claimed,
+                                             std::int64_t others,
+                                             TimePoint now) {
   const std::int64_t index = AssignIndex(host, claimed, now);
   GrowNumberLimit(std::max(index, others));
   return {NumberAt(index), number_limit_};
 }
 
-void FeedSeating::RaiseNumberLimit(std::int64_t limit) {
+void HostNumberAllocator::RaiseNumberLimit(std::int64_t limit) {
   if (limit <= seeds_ * kMaxIndex) {
     number_limit_ = std::max(number_limit_, limit);
   }
 }
 
-void FeedSeating::OnNumberAssigned(const HostId& seed, const FleetSeat& seat) {
+void HostNumberAllocator::OnNumberAssigned(const HostId& seed,
+                                           const HostNumber& seat) {
   assigned_ = seat;
   assigned_by_ = seed;
   expires_at_.reset();
 }
 
-void FeedSeating::OnLinkUp(const HostId& seed) {
+void HostNumberAllocator::OnLinkUp(const HostId& seed) {
   if (seed == assigned_by_) {
     expires_at_.reset();
   }
 }
 
-void FeedSeating::OnLinkDown(const HostId& seed, TimePoint now) {
+void HostNumberAllocator::OnLinkDown(const HostId& seed, TimePoint now) {
   if (seed == assigned_by_ && !expires_at_) {
     expires_at_ = now + kLease;
   }
 }
 
-FleetSeat FeedSeating::OwnNumber(TimePoint now) const {
+HostNumber HostNumberAllocator::OwnNumber(TimePoint now) const {
   if (rank_) {
     return {NumberAt(0), number_limit_};
   }
   const bool has_ended = expires_at_ && now >= *expires_at_;
-  return has_ended ? FleetSeat() : assigned_;
+  return has_ended ? HostNumber() : assigned_;
 }
 
 }  // namespace damasktack
--- a/fleet/feed_seating.h
+++ b/fleet/host_number_allocator.h
@@ -1,5 +1,5 @@
-#ifndef FLEET_FEED_SEATING_H_
-#define FLEET_FEED_SEATING_H_
+#ifndef FLEET_HOST_NUMBER_ALLOCATOR_H_
+#define FLEET_HOST_NUMBER_ALLOCATOR_H_
 
 #include <cstdint>
 #include <map>
@@ -7,7 +7,7 @@
 
 #include "core/ids.h"
 #include "core/time.h"
-#include "policy/fleet_seat.h"
+#include "policy/host_number.h"
 
 namespace damasktack {
 
@@ -19,7 +19,7 @@
 // reserves the number for kReservation, which is longer, so a number is
 // reassigned only when no host uses it any longer. A restarted seed adopts the
 // numbers that its followers report.
-class FeedSeating {
+class HostNumberAllocator {
  public:
   // How long a host uses its number after its link to the seed went down, and
   // how long a seed reserves the number of a host that it no longer hears from.
@@ -32,21 +32,21 @@
 
   // On a seed: returns the number of a follower, which reports `claimed` as its
   // current one. `others` is the largest number of followers of any other seed.
-  FleetSeat AssignNumber(const HostId& host,
-                         const FleetSeat& claimed,
-                         std::int64_t others,
-                         TimePoint now);
+  HostNumber AssignNumber(const HostId& host,
+                          const HostNumber& claimed,
+                          std::int64_t others,
+                          TimePoint now);
   // Raises the number limit to the one reported by another host.
   void RaiseNumberLimit(std::int64_t limit);
   // On any other host: a seed has assigned a number, or the link to a seed is
   // up or down.
-  void OnNumberAssigned(const HostId& seed, const FleetSeat& seat);
+  void OnNumberAssigned(const HostId& seed, const HostNumber& seat);
   void OnLinkUp(const HostId& seed);
   void OnLinkDown(const HostId& seed, TimePoint now);
 
   // Returns the number of this host; unknown if none was assigned or the lease
   // has expired.
-  FleetSeat OwnNumber(TimePoint now) const;
+  HostNumber OwnNumber(TimePoint now) const;
 
  private:
   struct Reservation {
@@ -56,7 +56,7 @@
   };
 
   std::int64_t AssignIndex(const HostId& host,
-                           const FleetSeat& claimed,
+                           const HostNumber& claimed,
                            TimePoint now);
   bool IsFree(std::int64_t index) const;
   std::int64_t NumberAt(std::int64_t index) const {
@@ -71,11 +71,11 @@
   std::int64_t number_limit_ = 1;
   std::map<HostId, Reservation> reservations_;
 
-  FleetSeat assigned_;
+  HostNumber assigned_;
   HostId assigned_by_;
   std::optional<TimePoint> expires_at_;
 };
 
 }  // namespace damasktack
 
-#endif  // FLEET_FEED_SEATING_H_
+#endif  // FLEET_HOST_NUMBER_ALLOCATOR_H_
--- a/fleet/membership.h
+++ b/fleet/membership.h
@@ -42,7 +42,7 @@
   // once.
   void SetLeaving(TimePoint now, Outbox& out);
   // Sends the last message of this process to all linked peers.
-  void SayGoodbye(Outbox& out);
+  void SendGoodbye(Outbox& out);
   // Resets the silence of all peers after this process was suspended: it could
   // not receive messages meanwhile.
   void OnLateWake(TimePoint now);
--- a/fleet/peer_codec.h
+++ b/fleet/peer_codec.h
@@ -16,7 +16,7 @@
 // and kinds need no new version because unknown ones are ignored.
 inline constexpr std::uint64_t kPeerProtocolVersion = 1;
 // The maximum document size plus its envelope.
-inline constexpr std::size_t kLargestPeerFrame = kLargestDocument + 4096;
+inline constexpr std::size_t kMaxPeerFrameBytes = kMaxDocumentBytes + 4096;
 
 // Encodes a message as one frame: a CBOR map {v: version, kind: string, body:
 // map}.
--- a/fleet/platform_reader.h
+++ b/fleet/platform_reader.h
@@ -38,7 +38,7 @@
   virtual void OnDocument(Document document) = 0;
   // The platform has answered, or the read has failed; called after OnDocument.
   // `check` is the check that was current when the request was sent.
-  virtual void OnAsked(DocumentName name, std::uint64_t check) = 0;
+  virtual void OnQueried(DocumentName name, std::uint64_t check) = 0;
 };
 
 // Reads the documents of the platform, continuously while this host is a reader
@@ -60,7 +60,7 @@
   void SetHosts(std::size_t hosts);
   // Sets the current revision of a document; only newer revisions of the
   // platform are changes.
-  void SetKnown(DocumentName name, Revision revision);
+  void SetKnownRevision(DocumentName name, Revision revision);
   // Reads all documents soon and unconditionally under the given check number;
   // interrupts pending watches.
   void ReadSoon(std::uint64_t check);
--- a/fleet/published_feed.cc
+++ b/fleet/published_feed.cc
@@ -8,7 +8,7 @@
 #include <map>
 #include <utility>
 
-#include "fleet/early_part.h"
+#include "fleet/early_read_filter.h"
 #include "fleet/seed_order.h"
 
 namespace damasktack {
@@ -61,7 +61,7 @@
         *started_at_ + options_.max_start_wait);
   }
   return *started_at_ + (view_.routes() ? options_.copy_feed_timeout
-                                        : options_.start_patience);
+                                        : options_.initial_feed_timeout);
 }
 
 std::optional<Duration> PublishedFeed::Age(TimePoint now) const {
@@ -138,10 +138,11 @@
 std::optional<FeedStep> PublishedFeed::NextEarlyRead() {
   if (is_early_read_pending_ && !early_part_) {
     ++counters_.reads;
-    return FeedStep{FeedStep::Kind::kReadPart, options_.start_patience};
+    return FeedStep{FeedStep::Kind::kReadPart, options_.initial_feed_timeout};
   }
   if (is_early_read_pending_ && rank_ != 0) {
-    return FeedStep{FeedStep::Kind::kReadEndpoints, options_.start_patience};
+    return FeedStep{FeedStep::Kind::kReadEndpoints,
+                    options_.initial_feed_timeout};
   }
   is_early_read_pending_ = false;
   return std::nullopt;
@@ -222,11 +223,11 @@
                          IsOperatorItem);
     early_part_.reset();
   }
-  view_.TakeAll(all, false, now);
+  view_.ApplyFullRead(all, false, now);
 }
 
 void PublishedFeed::OnReadAll(const PublishedItems& all, TimePoint now) {
-  view_.TakeAll(all, IsAfterOutage(now), now);
+  view_.ApplyFullRead(all, IsAfterOutage(now), now);
   is_synced_ = true;
   backoff_ = Duration::zero();
   if (std::exchange(lost_contact_, false)) {
@@ -237,7 +238,7 @@
 }
 
 void PublishedFeed::OnWatched(const PublishedItems& changes, TimePoint now) {
-  view_.TakeChanges(changes, IsAfterOutage(now), now);
+  view_.ApplyChanges(changes, IsAfterOutage(now), now);
   Confirm(now, own_reader_id_);
   if (!changes.items.empty()) {
     next_call_ = now + options_.gather;
@@ -270,10 +271,10 @@
   return Jittered(backoff_);
 }
 
-FleetSeat PublishedFeed::HostNumber(TimePoint now) const {
+HostNumber PublishedFeed::HostNumber(TimePoint now) const {
   const bool is_settled =
       started_at_ && now - *started_at_ >= options_.number_settling_time;
-  return is_settled ? numbers_.OwnNumber(now) : FleetSeat();
+  return is_settled ? numbers_.OwnNumber(now) : HostNumber();
 }
 
 // Returns a random duration between half and one and a half times `time`, so
@@ -340,7 +341,8 @@
                               Outbox& out) {
   if (const auto* hello = std::get_if<FeedHello>(&message)) {
     OnHello(host, *hello, now, out);
-  } else if (const auto* assigned = std::get_if<FeedSeat>(&message)) {
+  } else if (const auto* assigned =
+                 std::get_if<FeedNumberAssignment>(&message)) {
     numbers_.OnNumberAssigned(host, assigned->seat);
   } else if (const auto* update = std::get_if<FeedUpdate>(&message)) {
     OnUpdate(host, *update, {}, now, out);
@@ -366,10 +368,10 @@
   }
   numbers_.RaiseNumberLimit(hello.seat.seats);
   if (IsSeed() && !peer.IsSeed()) {
-    const FleetSeat seat = numbers_.AssignNumber(
+    const HostNumber seat = numbers_.AssignNumber(
         host, hello.seat, peers_.MaxFollowersOfOtherSeeds(), now);
     if (seat != hello.seat) {
-      out.Send(host, FeedSeat{seat});
+      out.Send(host, FeedNumberAssignment{seat});
     }
   }
 }
@@ -400,9 +402,9 @@
     }
     return;
   }
-  view_.TakePart(range, update.changes,
-                 update.whole ? &update.present : nullptr, update.after_outage,
-                 now);
+  view_.ApplyPart(range, update.changes,
+                  update.whole ? &update.present : nullptr, update.after_outage,
+                  now);
   if (view_.TakeNeedsFullBook()) {
     peers_.at(host).transfer = {};
     FeedHello hello = Hello(now);
--- a/fleet/published_feed.h
+++ b/fleet/published_feed.h
@@ -7,8 +7,8 @@
 #include "core/random.h"
 #include "fleet/feed_options.h"
 #include "fleet/feed_peers.h"
-#include "fleet/feed_seating.h"
 #include "fleet/fleet_module.h"
+#include "fleet/host_number_allocator.h"
 #include "fleet/published_messages.h"
 #include "fleet/published_view.h"
 
@@ -70,7 +70,7 @@
   std::int64_t KnownHosts() const;
   // Returns this host's number in the fleet. Unknown until a seed has assigned
   // one and `number_settling_time` has passed since the start.
-  FleetSeat HostNumber(TimePoint now) const;
+  HostNumber HostNumber(TimePoint now) const;
 
  private:
   void UpdateRank();
@@ -144,7 +144,7 @@
   std::int64_t reported_hosts_ = 0;
   PublishedView view_;
   FeedPeers peers_;
-  FeedSeating numbers_;
+  HostNumberAllocator numbers_;
   FeedCounters counters_;
 
   std::optional<TimePoint> started_at_;
--- a/fleet/published_loop.cc
+++ b/fleet/published_loop.cc
@@ -51,7 +51,7 @@
 }
 
 void PublishedLoop::ShareRates(EndpointRates& rates) {
-  rate_exchange_.emplace(rates, FleetShape::kStar);
+  rate_exchange_.emplace(rates, FleetTopology::kStar);
 }
 
 void PublishedLoop::Start(PeerTransport* transport) {
@@ -79,19 +79,20 @@
 
 void PublishedLoop::ConnectExchanges() {
   if (crashes_) {
-    crashes_->SetOnNews([this] { SendExchangeUpdate(crashes_); });
+    crashes_->SetOnUpdates([this] { SendExchangeUpdate(crashes_); });
   }
   if (rate_exchange_) {
-    rate_exchange_->SetOnNews([this] { SendExchangeUpdate(rate_exchange_); });
+    rate_exchange_->SetOnUpdates(
+        [this] { SendExchangeUpdate(rate_exchange_); });
   }
 }
 
 void PublishedLoop::DisconnectExchanges() {
   if (crashes_) {
-    crashes_->SetOnNews({});
+    crashes_->SetOnUpdates({});
   }
   if (rate_exchange_) {
-    rate_exchange_->SetOnNews({});
+    rate_exchange_->SetOnUpdates({});
   }
 }
 
@@ -197,7 +198,7 @@
   const std::int64_t hosts = feed_.KnownHosts();
   const bool has_new_size =
       hosts != reported_hosts_ && IsNewSize(reported_hosts_, hosts);
-  const FleetSeat seat = feed_.HostNumber(now);
+  const HostNumber seat = feed_.HostNumber(now);
   const bool has_new_number = seat != std::exchange(reported_number_, seat);
   const bool changed =
       feed_.view().TakeChanged() || has_new_size || has_new_number;
@@ -248,7 +249,7 @@
   if (const auto* hello = std::get_if<FeedHello>(&message)) {
     const bool is_seed = hello->rank != FeedHello::kNoSeed;
     crashes_->OnPeer(host,
-                     is_seed ? CrashListener::kSeed : CrashListener::kFollower,
+                     is_seed ? CrashPeerRole::kSeed : CrashPeerRole::kFollower,
                      Clock::now(), out_);
   } else if (const auto* report = std::get_if<CrashReport>(&message)) {
     crashes_->OnReport(host, *report, Clock::now(), out_);
--- a/fleet/published_loop.h
+++ b/fleet/published_loop.h
@@ -19,14 +19,14 @@
 
 // Snapshot of the published data of one host.
 struct PublishedState {
-  std::shared_ptr<const RouteBook> routes;
+  std::shared_ptr<const RouteTable> routes;
   std::vector<PublishedEndpoint> endpoints;
   // Endpoints in these zones must not receive requests.
   std::vector<ZoneId> drained_zones;
   // Number of hosts that share the endpoints; 0 if unknown.
   std::int64_t hosts = 0;
   // This host's number among these hosts.
-  FleetSeat seat;
+  HostNumber seat;
 };
 
 // Receives changes on a thread of the loop or of the transport. Implementations
@@ -112,7 +112,7 @@
   std::vector<SocketAddress> seeds_;
   // Fleet size last reported to the owner.
   std::int64_t reported_hosts_ = 0;
-  FleetSeat reported_number_;
+  HostNumber reported_number_;
 };
 
 }  // namespace damasktack
--- a/fleet/published_messages.h
+++ b/fleet/published_messages.h
@@ -9,7 +9,7 @@
 #include "core/json_reader.h"
 #include "fleet/published_part.h"
 #include "fleet/published_source.h"
-#include "policy/fleet_seat.h"
+#include "policy/host_number.h"
 
 namespace damasktack {
 
@@ -28,7 +28,7 @@
   // Number of non-seed hosts that the sender feeds.
   std::int64_t followers = 0;
   // Host number of the sender; unknown until a seed has assigned one.
-  FleetSeat seat;
+  HostNumber seat;
 
   static constexpr std::int64_t kNoSeed = 1'000'000;
 
@@ -94,16 +94,16 @@
 
 // Sent by a seed to a follower whose host number differs from the one that the
 // seed assigns to it.
-struct FeedSeat {
+struct FeedNumberAssignment {
   static constexpr std::string_view kKind = "feed-seat";
 
-  FleetSeat seat;
+  HostNumber seat;
 
   Json ToJson() const;
-  static leaf::result<FeedSeat> Parse(const Json& json,
-                                      const std::string& path);
+  static leaf::result<FeedNumberAssignment> Parse(const Json& json,
+                                                  const std::string& path);
 
-  bool operator==(const FeedSeat&) const = default;
+  bool operator==(const FeedNumberAssignment&) const = default;
 };
 
 // Reports that the store does not answer the sender, or that the sender was
--- a/fleet/published_source.h
+++ b/fleet/published_source.h
@@ -8,7 +8,7 @@
 
 #include "contract/document.h"
 #include "contract/route.h"
-#include "contract/route_book_change.h"
+#include "contract/route_table_delta.h"
 #include "core/error.h"
 #include "core/time.h"
 
@@ -47,10 +47,10 @@
   bool operator==(const UnreadableValue&) const = default;
 };
 
-// RouteBookChange is only received from peers; the store always holds the full
+// RouteTableDelta is only received from peers; the store always holds the full
 // book.
-using PublishedValue = std::variant<RouteBook,
-                                    RouteBookChange,
+using PublishedValue = std::variant<RouteTable,
+                                    RouteTableDelta,
                                     PublishedEndpoint,
                                     RemovedEndpoint,
                                     UnusableEndpoint,
--- a/fleet/published_view.cc
+++ b/fleet/published_view.cc
@@ -42,9 +42,9 @@
   constexpr std::size_t kEntriesPerRoute = 2;
   std::size_t routes = 0;
   for (const PublishedItem& it : items.items) {
-    if (const auto* book = std::get_if<RouteBook>(&it.value)) {
+    if (const auto* book = std::get_if<RouteTable>(&it.value)) {
       routes += book->routes.size();
-    } else if (const auto* step = std::get_if<RouteBookChange>(&it.value)) {
+    } else if (const auto* step = std::get_if<RouteTableDelta>(&it.value)) {
       routes += step->changed.size() + step->removed.size();
     }
   }
@@ -58,9 +58,9 @@
 
 }  // namespace
 
-void PublishedView::TakeAll(const PublishedItems& all,
-                            bool after_outage,
-                            TimePoint now) {
+void PublishedView::ApplyFullRead(const PublishedItems& all,
+                                  bool after_outage,
+                                  TimePoint now) {
   Present present;
   for (const PublishedItem& it : all.items) {
     present.Add(it.value);
@@ -78,11 +78,11 @@
   }
 }
 
-void PublishedView::TakePart(const EndpointRange& range,
-                             const PublishedItems& changes,
-                             const std::vector<EndpointId>* present,
-                             bool after_outage,
-                             TimePoint now) {
+void PublishedView::ApplyPart(const EndpointRange& range,
+                              const PublishedItems& changes,
+                              const std::vector<EndpointId>* present,
+                              bool after_outage,
+                              TimePoint now) {
   for (const PublishedItem& it : changes.items) {
     Apply(it, after_outage, now);
     if (present != nullptr) {
@@ -159,18 +159,18 @@
   }
 }
 
-void PublishedView::TakeChanges(const PublishedItems& changes,
-                                bool after_outage,
-                                TimePoint now) {
-  TakePart({}, changes, nullptr, after_outage, now);
+void PublishedView::ApplyChanges(const PublishedItems& changes,
+                                 bool after_outage,
+                                 TimePoint now) {
+  ApplyPart({}, changes, nullptr, after_outage, now);
 }
 
 void PublishedView::Apply(const PublishedItem& item,
                           bool after_outage,
                           TimePoint now) {
-  if (const auto* book = std::get_if<RouteBook>(&item.value)) {
+  if (const auto* book = std::get_if<RouteTable>(&item.value)) {
     ApplyRoutes(*book, item.revision);
-  } else if (const auto* change = std::get_if<RouteBookChange>(&item.value)) {
+  } else if (const auto* change = std::get_if<RouteTableDelta>(&item.value)) {
     ApplyRoutesChange(*change, item.revision);
   } else if (const auto* endpoint =
                  std::get_if<PublishedEndpoint>(&item.value)) {
@@ -238,23 +238,23 @@
   removal_order_.erase(oldest);
 }
 
-void PublishedView::ApplyRoutes(const RouteBook& book, Revision revision) {
+void PublishedView::ApplyRoutes(const RouteTable& book, Revision revision) {
   if (routes_ && book.version <= routes_->version) {
     return;
   }
   const std::optional<Error> error =
-      FaultOf([&] { return CheckRouteBook(book); });
+      CaptureError([&] { return CheckRouteTable(book); });
   if (error) {
     refused_.push_back(*error);
     return;
   }
   RecordBookTransition(book, revision);
-  routes_ = std::make_shared<RouteBook>(book);
+  routes_ = std::make_shared<RouteTable>(book);
   routes_revision_ = revision;
   changed_ = true;
 }
 
-void PublishedView::ApplyRoutesChange(const RouteBookChange& change,
+void PublishedView::ApplyRoutesChange(const RouteTableDelta& change,
                                       Revision revision) {
   if (routes_ && change.version <= routes_->version) {
     return;
@@ -269,12 +269,12 @@
   ApplyRoutes(ApplyChange(*routes_, change), revision);
 }
 
-void PublishedView::RecordBookTransition(const RouteBook& book,
+void PublishedView::RecordBookTransition(const RouteTable& book,
                                          Revision revision) {
   if (!routes_) {
     return;
   }
-  RouteBookChange change = CompareBooks(*routes_, book);
+  RouteTableDelta change = DiffRouteTables(*routes_, book);
   const std::size_t size = change.changed.size() + change.removed.size();
   if (size * kMinBookToChangeRatio > book.routes.size()) {
     // Peers with an earlier book need the full one.
--- a/fleet/published_view.h
+++ b/fleet/published_view.h
@@ -36,7 +36,9 @@
 
   // Applies a full read. Endpoints missing from it are removed; after a store
   // outage only once kMissingGrace has passed.
-  void TakeAll(const PublishedItems& all, bool after_outage, TimePoint now);
+  void ApplyFullRead(const PublishedItems& all,
+                     bool after_outage,
+                     TimePoint now);
   // Applies a partial read; endpoints missing from it are kept.
   void ApplyPartialRead(const PublishedItems& some, TimePoint now);
   // Applies the changes of one range received from a feeder. If the feeder does
@@ -44,15 +46,15 @@
   // ones are removed as above, and the first part contains all zone drains in
   // force. Otherwise `present` is null. The last part advances this view to its
   // revision.
-  void TakePart(const EndpointRange& range,
-                const PublishedItems& changes,
-                const std::vector<EndpointId>* present,
-                bool after_outage,
-                TimePoint now);
+  void ApplyPart(const EndpointRange& range,
+                 const PublishedItems& changes,
+                 const std::vector<EndpointId>* present,
+                 bool after_outage,
+                 TimePoint now);
   // Applies changes returned by a watch.
-  void TakeChanges(const PublishedItems& changes,
-                   bool after_outage,
-                   TimePoint now);
+  void ApplyChanges(const PublishedItems& changes,
+                    bool after_outage,
+                    TimePoint now);
   // Applies changes that are due by time: removes endpoints missing for
   // kMissingGrace and accepts earlier starts after kEarlierStartGrace.
   void Advance(TimePoint now);
@@ -60,7 +62,7 @@
   std::optional<TimePoint> NextChange() const;
 
   // Null until valid routes have been read.
-  const std::shared_ptr<const RouteBook>& routes() const { return routes_; }
+  const std::shared_ptr<const RouteTable>& routes() const { return routes_; }
   std::vector<PublishedEndpoint> Endpoints() const;
   const DrainedZones& drained_zones() const { return drained_zones_; }
   Revision revision() const { return revision_; }
@@ -122,9 +124,9 @@
               TimePoint now);
   // Records that the view is complete up to a revision.
   void MarkCompleteAt(Revision revision);
-  void ApplyRoutes(const RouteBook& book, Revision revision);
-  void ApplyRoutesChange(const RouteBookChange& change, Revision revision);
-  void RecordBookTransition(const RouteBook& book, Revision revision);
+  void ApplyRoutes(const RouteTable& book, Revision revision);
+  void ApplyRoutesChange(const RouteTableDelta& change, Revision revision);
+  void RecordBookTransition(const RouteTable& book, Revision revision);
   void AddRoutesAfter(Revision after, PublishedItems& out) const;
   void AddRoutesAndDrains(Revision after, PublishedPart& part) const;
   static void AddRemovalAfter(
@@ -148,13 +150,13 @@
   void RecordRemoval(const EndpointId& removed, Revision revision);
   void MarkMissing(const EndpointId& id, bool after_outage, TimePoint now);
 
-  std::shared_ptr<const RouteBook> routes_;
+  std::shared_ptr<const RouteTable> routes_;
   Revision routes_revision_ = 0;
   struct BookTransition {
     // Revisions of the book before and after the change.
     Revision base = 0;
     Revision revision = 0;
-    RouteBookChange change;
+    RouteTableDelta change;
   };
 
   // Consecutive changes that lead to the current book, for peers that hold an
--- a/main/admin_client.h
+++ b/main/admin_client.h
@@ -31,12 +31,12 @@
 
 // Clients for `addresses`, with the token and timeout that the command line
 // or the environment names.
-leaf::result<std::vector<AdminClient>> ClientsFor(
+leaf::result<std::vector<AdminClient>> MakeClients(
     const CtlInvocation& invocation,
     const std::vector<std::string>& addresses);
 
 // The same for the hosts that --host names; at least one.
-leaf::result<std::vector<AdminClient>> ClientsOf(
+leaf::result<std::vector<AdminClient>> MakeClientsForHosts(
     const CtlInvocation& invocation);
 
 }  // namespace damasktack
--- a/main/call_explainer.h
+++ b/main/call_explainer.h
@@ -26,7 +26,7 @@
   // Lines of the call, in order of time.
   std::vector<LogLine> calls;
   // A sentence on each of them.
-  std::vector<std::string> meanings;
+  std::vector<std::string> explanations;
   // What the hosts that handled it had come to believe in the seconds before:
   // routes, endpoints, store, peers, starts and stops.
   std::vector<LogLine> beliefs;
--- a/main/daemon.cc
+++ b/main/daemon.cc
@@ -14,7 +14,7 @@
 // Without any caller's connection for this long, the stop is done.
 constexpr Duration kQuietBeforeEnd = std::chrono::milliseconds(50);
 
-// Ends that no keeper has acknowledged and buckets that nobody has taken over
+// Ends that no replica has acknowledged and buckets that nobody has taken over
 // get this long; after it their keys are refused or answered as unknown.
 constexpr Duration kHandoverTime = std::chrono::seconds(3);
 
@@ -55,8 +55,8 @@
                                &state_.endpoint_rates()}),
              *this) {
   if (!settings_.fleet.enabled) {
-    limits_.SetAlone();
-    claims_.SetAlone();
+    limits_.SetStandalone();
+    claims_.SetStandalone();
   }
 }
 
@@ -76,7 +76,7 @@
   BOOST_LEAF_CHECK(callers_.Start());
   BOOST_LEAF_CHECK(admin_.Start());
   BOOST_LEAF_CHECK(fleet_.Start());
-  drain_relay_ = std::thread([this] { PassOnDrains(); });
+  drain_relay_ = std::thread([this] { RelayDrains(); });
   spdlog::info("event=started host={} zone={} callers={}",
                settings_.host.text(), settings_.zone.text(), callers_.port());
   return {};
@@ -116,18 +116,18 @@
                 ToString(refusal.error));
 }
 
-void Daemon::OnHeardDrain(const DrainSighting& sighting) {
+void Daemon::OnHeardDrain(const DrainObservation& sighting) {
   if (const auto dispatcher = state_.FindDispatcher(sighting.service)) {
-    dispatcher->HearDrain(sighting.endpoint, Clock::now());
+    dispatcher->OnPeerDrain(sighting.endpoint, Clock::now());
   }
 }
 
 // Hosts that have not called an endpoint lately learn from those that have.
-void Daemon::PassOnDrains() {
+void Daemon::RelayDrains() {
   while (!ended_) {
     for (const auto& [service, dispatcher] : state_.dispatchers()) {
       for (const EndpointId& it : dispatcher->TakeDrainSightings()) {
-        fleet_.PassOnDrain({service, it});
+        fleet_.BroadcastDrain({service, it});
       }
     }
     std::this_thread::sleep_for(kDrainRelay);
@@ -149,14 +149,14 @@
 
 void Daemon::WaitForHandover() const {
   const TimePoint last = Clock::now() + kHandoverTime;
-  while (!claims_.MayEnd() && Clock::now() < last) {
+  while (!claims_.IsSafeToStop() && Clock::now() < last) {
     std::this_thread::sleep_for(kStopPoll);
   }
-  if (!claims_.MayEnd()) {
+  if (!claims_.IsSafeToStop()) {
     const ClaimStatus status = claims_.Status();
     spdlog::warn(
         "event=claims-not-handed-over host={} held_buckets={} unsettled={}",
-        settings_.host.text(), status.keeper.holds, status.unsettled);
+        settings_.host.text(), status.replica.holds, status.unsettled);
   }
 }
 
--- a/main/damasktack_main.cc
+++ b/main/damasktack_main.cc
@@ -59,7 +59,7 @@
 // Settings that cannot be read leave the running ones in force.
 void ReloadFrom(const std::string& path, damasktack::StoreDaemon& daemon) {
   const auto fault =
-      damasktack::FaultOf([&]() -> damasktack::leaf::result<void> {
+      damasktack::CaptureError([&]() -> damasktack::leaf::result<void> {
         BOOST_LEAF_AUTO(settings, damasktack::LoadSettings(path));
         daemon.Reload(settings);
         return {};
--- a/main/fleet_node.h
+++ b/main/fleet_node.h
@@ -33,7 +33,7 @@
   virtual void OnInForce(const Document& document) = 0;
   virtual void OnRefused(DocumentName name, const DocumentRefusal& refusal) = 0;
   // A peer has seen this endpoint drain.
-  virtual void OnHeardDrain(const DrainSighting& sighting) = 0;
+  virtual void OnHeardDrain(const DrainObservation& sighting) = 0;
 };
 
 // This host's membership in the fleet: links, the fleet loop and the platform's
@@ -47,7 +47,7 @@
   // The graceful stop begins: peers hear it, others take over the reading.
   void Leave();
   // Tells the peers that an endpoint has told this host that it drains.
-  void PassOnDrain(const DrainSighting& sighting);
+  void BroadcastDrain(const DrainObservation& sighting);
   // An operator has made sure that the last known process of `host` has ended;
   // the other hosts hear it from this one.
   void ConfirmGone(const HostId& host);
@@ -68,13 +68,13 @@
 
  private:
   void OnFleetState(std::shared_ptr<const FleetState> state) override;
-  void OnHeardDrain(const DrainSighting& sighting) override {
+  void OnHeardDrain(const DrainObservation& sighting) override {
     events_.OnHeardDrain(sighting);
   }
   void OnDocument(Document document) override;
-  void OnAsked(DocumentName name, std::uint64_t check) override;
-  void TellDocuments(const FleetState& state);
-  void SteerReader(const FleetState& state);
+  void OnQueried(DocumentName name, std::uint64_t check) override;
+  void ReportDocuments(const FleetState& state);
+  void UpdateReaderRole(const FleetState& state);
 
   const FleetNodeOptions options_;
   FleetNodeEvents& events_;
--- a/main/host_answers.h
+++ b/main/host_answers.h
@@ -25,9 +25,9 @@
   }
 };
 
-HostAnswers AskAll(const std::vector<AdminClient>& clients,
-                   AdminVerb verb,
-                   const std::string& path);
+HostAnswers QueryAllHosts(const std::vector<AdminClient>& clients,
+                          AdminVerb verb,
+                          const std::string& path);
 
 // The answers as one JSON object: "hosts" and "errors".
 Json ToJson(const HostAnswers& answers);
--- a/main/settings.cc
+++ b/main/settings.cc
@@ -69,7 +69,7 @@
 leaf::result<Json> ParseWithoutQuotes(std::string_view text,
                                       std::string_view where) {
   Json json;
-  const std::optional<Error> fault = FaultOf([&]() -> leaf::result<void> {
+  const std::optional<Error> fault = CaptureError([&]() -> leaf::result<void> {
     BOOST_LEAF_ASSIGN(json, ParseJson(text, where));
     return {};
   });
--- a/main/settings.h
+++ b/main/settings.h
@@ -42,7 +42,7 @@
   // Changes that come within this time cost one call together.
   Duration gather = std::chrono::milliseconds(150);
   // How long a host that starts waits for its peers before it asks the store.
-  Duration start_patience = std::chrono::milliseconds(250);
+  Duration initial_feed_timeout = std::chrono::milliseconds(250);
   // Calls wait for the first routes until this long after the start: a large
   // book takes a while where all hosts start together.
   Duration start_hold = std::chrono::milliseconds(1500);
--- a/main/settings_reader.cc
+++ b/main/settings_reader.cc
@@ -126,7 +126,8 @@
 }
 
 leaf::result<void> SettingsReader::Finish() {
-  const std::optional<Error> fault = FaultOf([&] { return reader_.Finish(); });
+  const std::optional<Error> fault =
+      CaptureError([&] { return reader_.Finish(); });
   if (fault) {
     return leaf::new_error(WithoutValue(*fault));
   }
--- a/main/settings_snapshot.cc
+++ b/main/settings_snapshot.cc
@@ -40,7 +40,7 @@
   Note(key, std::move(text));
 }
 
-std::vector<std::string> SettingsSnapshot::ChangedIn(
+std::vector<std::string> SettingsSnapshot::ChangedKeys(
     const SettingsSnapshot& other) const {
   std::vector<std::string> changed;
   for (std::size_t n = 0; n < values_.size(); ++n) {
@@ -55,7 +55,7 @@
                                const Settings& wanted) {
   SettingsChange change;
   for (const std::string& it :
-       SnapshotOf(running).ChangedIn(SnapshotOf(wanted))) {
+       SnapshotOf(running).ChangedKeys(SnapshotOf(wanted))) {
     const bool is_taken =
         std::ranges::find(kTakenWhileRunning, it) != kTakenWhileRunning.end();
     (is_taken ? change.taken : change.after_restart).push_back(it);
--- a/main/settings_snapshot.h
+++ b/main/settings_snapshot.h
@@ -92,7 +92,7 @@
   }
 
   // Names of the settings that differ; both must come from the same visit.
-  std::vector<std::string> ChangedIn(const SettingsSnapshot& other) const;
+  std::vector<std::string> ChangedKeys(const SettingsSnapshot& other) const;
 
  private:
   struct Value {
--- a/tests/contract/test_contract_check.cc
+++ b/tests/contract/test_contract_check.cc
@@ -27,7 +27,7 @@
 
 std::optional<Error> FaultIn(DocumentName name, const std::string& body) {
   const Document document = AsDocument(name, body);
-  return FaultOf([&]() -> leaf::result<void> {
+  return CaptureError([&]() -> leaf::result<void> {
     switch (name) {
       case DocumentName::kContracts:
         BOOST_LEAF_CHECK(ParseContracts(document));
@@ -150,7 +150,7 @@
   for (const char* it : {"alentejo", "cuyo"}) {
     CAPTURE(it);
     const std::string folder = Source("examples/") + it + "/";
-    const auto fault = FaultOf([&]() -> leaf::result<void> {
+    const auto fault = CaptureError([&]() -> leaf::result<void> {
       BOOST_LEAF_AUTO(contracts, ParseContracts(AsDocument(
                                      DocumentName::kContracts,
                                      Text(folder + "contracts.json"))));
@@ -167,12 +167,12 @@
 }
 
 TEST_CASE("a service that nobody publishes is found") {
-  const auto fault = FaultOf([&]() -> leaf::result<void> {
+  const auto fault = CaptureError([&]() -> leaf::result<void> {
     BOOST_LEAF_AUTO(contracts,
                     ParseContracts(AsDocument(DocumentName::kContracts,
                                               R"({"contracts": [
       {"customer": "a", "requests": [{"service": "s"}]}]})")));
-    return CheckReferences(contracts, ServiceBook{});
+    return CheckReferences(contracts, ServiceList{});
   });
   REQUIRE(fault);
   CHECK(fault->kind == ErrorKind::kUnknownReference);
--- a/tests/contract/test_route.cc
+++ b/tests/contract/test_route.cc
@@ -17,7 +17,7 @@
 }
 
 // Compares each route with every other.
-Urgency NaiveUrgency(const RouteBook& book,
+Urgency NaiveUrgency(const RouteTable& book,
                      const std::vector<std::int64_t>& ranks,
                      std::size_t route) {
   std::set<std::int64_t> before;
@@ -32,7 +32,7 @@
 
 TEST_CASE("ranks by service agree with comparing every pair of routes") {
   CHECK(rc::check([] {
-    RouteBook book;
+    RouteTable book;
     std::vector<std::int64_t> ranks;
     const int routes = *rc::gen::inRange(0, 12);
     for (int n = 0; n < routes; ++n) {
@@ -45,7 +45,7 @@
       book.routes.push_back(std::move(route));
       ranks.push_back(*rc::gen::inRange<std::int64_t>(0, 5));
     }
-    RankByService(book, ranks);
+    AssignUrgencies(book, ranks);
     for (std::size_t n = 0; n < book.routes.size(); ++n) {
       RC_ASSERT(book.routes[n].urgency == NaiveUrgency(book, ranks, n));
     }
--- a/tests/contract/test_route_book_change.cc
+++ b/tests/contract/test_route_table_delta.cc
@@ -1,4 +1,4 @@
-#include "contract/route_book_change.h"
+#include "contract/route_table_delta.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -18,15 +18,15 @@
   return route;
 }
 
-RouteBook SortedByName(RouteBook book) {
+RouteTable SortedByName(RouteTable book) {
   std::ranges::sort(book.routes, [](const Route& a, const Route& b) {
     return std::tie(a.host, a.prefix) < std::tie(b.host, b.prefix);
   });
   return book;
 }
 
-RouteBook DrawBook(std::uint64_t version) {
-  RouteBook book;
+RouteTable DrawBook(std::uint64_t version) {
+  RouteTable book;
   book.version = version;
   book.services = {{ServiceId("s"), "/health", 250}};
   for (int n = 0; n < 9; ++n) {
@@ -40,23 +40,23 @@
 
 TEST_CASE("the change between two books leads from one to the other") {
   CHECK(rc::check([] {
-    const RouteBook base = DrawBook(3);
-    const RouteBook book = DrawBook(8);
-    const RouteBookChange change = CompareBooks(base, book);
+    const RouteTable base = DrawBook(3);
+    const RouteTable book = DrawBook(8);
+    const RouteTableDelta change = DiffRouteTables(base, book);
     RC_ASSERT(ApplyChange(base, change) == SortedByName(book));
   }));
 }
 
 TEST_CASE("a change names only what differs") {
-  RouteBook base;
+  RouteTable base;
   for (int n = 0; n < 50; ++n) {
     base.routes.push_back(MakeRoute(n, 100));
   }
-  RouteBook book = base;
+  RouteTable book = base;
   book.version = 2;
   book.routes[7].timeout = std::chrono::milliseconds(200);
   book.routes.erase(book.routes.begin());
-  const RouteBookChange change = CompareBooks(base, book);
+  const RouteTableDelta change = DiffRouteTables(base, book);
   REQUIRE(change.changed.size() == 1);
   CHECK(change.changed[0] == MakeRoute(7, 200));
   REQUIRE(change.removed.size() == 1);
--- a/tests/core/test_state_chart.cc
+++ b/tests/core/test_state_chart.cc
@@ -40,7 +40,7 @@
 
 void CheckUnsound(const std::string& text, const std::string& found) {
   const Error error = ErrorOf(text);
-  CHECK(error.kind == ErrorKind::kUnsoundChart);
+  CHECK(error.kind == ErrorKind::kInvalidChart);
   CHECK_MESSAGE(error.found.find(found) != std::string::npos, error);
   CHECK(error.remedy != "");
 }
@@ -98,7 +98,7 @@
   const std::string ajar = head + R"("states": ["open", "ajar"],
       "final": ["ajar"], "events": ["close"],
       "transitions": [{"from": "open", "event": "close", "to": "ajar"}]})";
-  CHECK(bind(ajar).kind == ErrorKind::kUnsoundChart);
+  CHECK(bind(ajar).kind == ErrorKind::kInvalidChart);
 }
 
 }  // namespace
--- a/tests/fleet/test_fleet_core.cc
+++ b/tests/fleet/test_fleet_core.cc
@@ -47,8 +47,9 @@
 
 void AskPlatform(MemoryNetwork& network, std::size_t n) {
   for (std::size_t k = 0; k < kDocumentCount; ++k) {
-    network.at(n).PlatformAsked(static_cast<DocumentName>(k),
-                                network.at(n).check_number(), network.now());
+    network.at(n).OnPlatformQueried(static_cast<DocumentName>(k),
+                                    network.at(n).check_number(),
+                                    network.now());
   }
 }
 
@@ -117,8 +118,8 @@
   network.at(0).OnLateWake(network.now());
   CHECK_FALSE(network.at(0).ready());
   // A response to a query sent before the suspension does not count.
-  network.at(0).PlatformAsked(DocumentName::kContracts, old_check,
-                              network.now());
+  network.at(0).OnPlatformQueried(DocumentName::kContracts, old_check,
+                                  network.now());
   network.Run(seconds(3));
   CHECK_FALSE(network.at(0).ready());
   AskPlatform(network, 0);
@@ -194,10 +195,10 @@
   CHECK(seen().incarnation == 2);
   CHECK(seen().listed == ListedState::kLive);
   // A late message of the old process is ignored.
-  const auto unknown = network.at(0).counters().messages_unheard;
+  const auto unknown = network.at(0).counters().messages_unknown_sender;
   network.at(0).OnFrame({HostId("h1"), 1}, EncodePeerMessage(Goodbye{}),
                         network.now());
-  CHECK(network.at(0).counters().messages_unheard == unknown + 1);
+  CHECK(network.at(0).counters().messages_unknown_sender == unknown + 1);
   CHECK(seen().reachable);
 }
 
--- a/tests/fleet/test_feed_seating.cc
+++ b/tests/fleet/test_host_number_allocator.cc
@@ -1,4 +1,4 @@
-#include "fleet/feed_seating.h"
+#include "fleet/host_number_allocator.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -7,8 +7,8 @@
 #include <map>
 #include <string>
 
-#include "policy/seat_turns.h"
-#include "tests/fleet/feed_world.h"
+#include "policy/host_quota.h"
+#include "tests/fleet/feed_simulation.h"
 
 namespace damasktack {
 namespace {
@@ -21,8 +21,8 @@
 // Turns at each endpoint, shared by all hosts.
 constexpr int kTurns = 5;
 
-FeedSeating MakeSeed(std::int64_t rank) {
-  FeedSeating seed;
+HostNumberAllocator MakeSeed(std::int64_t rank) {
+  HostNumberAllocator seed;
   seed.SetRank(rank, kSeeds);
   return seed;
 }
@@ -34,10 +34,10 @@
 TEST_CASE("no two followers of seeds have the same number") {
   std::map<std::int64_t, int> holders;
   for (std::int64_t rank = 0; rank < kSeeds; ++rank) {
-    FeedSeating seed = MakeSeed(rank);
+    HostNumberAllocator seed = MakeSeed(rank);
     for (int n = 0; n < 40; ++n) {
-      const FleetSeat seat =
-          seed.AssignNumber(HostOf(n), FleetSeat(), 40, kStart);
+      const HostNumber seat =
+          seed.AssignNumber(HostOf(n), HostNumber(), 40, kStart);
       CHECK(seat.number < seat.seats);
       ++holders[seat.number];
     }
@@ -49,23 +49,23 @@
 // Guards against two hosts that take the same turns while one of them is cut
 // off from its seed.
 TEST_CASE("a number is reassigned only after its lease has expired") {
-  FeedSeating seed = MakeSeed(0);
-  FeedSeating host;
-  const FleetSeat seat = seed.AssignNumber(HostOf(1), FleetSeat(), 0, kStart);
+  HostNumberAllocator seed = MakeSeed(0);
+  HostNumberAllocator host;
+  const HostNumber seat = seed.AssignNumber(HostOf(1), HostNumber(), 0, kStart);
   host.OnNumberAssigned(HostOf(0), seat);
   host.OnLinkDown(HostOf(0), kStart);
   for (TimePoint now = kStart; now < kStart + seconds(100); now += seconds(1)) {
-    const FleetSeat other = seed.AssignNumber(
+    const HostNumber other = seed.AssignNumber(
         HostId("new" + std::to_string(now.time_since_epoch().count())),
-        FleetSeat(), 0, now);
+        HostNumber(), 0, now);
     CHECK((host.OwnNumber(now).number != other.number ||
-           other.number == FleetSeat::kNone));
+           other.number == HostNumber::kNone));
   }
   CHECK(!host.OwnNumber(kStart + seconds(100)).IsKnown());
 }
 
 TEST_CASE("a link restored within the lease keeps the number") {
-  FeedSeating host;
+  HostNumberAllocator host;
   host.OnNumberAssigned(HostOf(0), {4, 8});
   host.OnLinkDown(HostOf(0), kStart);
   host.OnLinkUp(HostOf(0));
@@ -73,23 +73,23 @@
 }
 
 TEST_CASE("a restarted seed adopts the numbers of its followers") {
-  FeedSeating before = MakeSeed(1);
-  std::map<int, FleetSeat> seats;
+  HostNumberAllocator before = MakeSeed(1);
+  std::map<int, HostNumber> seats;
   for (int n = 0; n < 20; ++n) {
-    seats[n] = before.AssignNumber(HostOf(n), FleetSeat(), 20, kStart);
+    seats[n] = before.AssignNumber(HostOf(n), HostNumber(), 20, kStart);
   }
-  FeedSeating after = MakeSeed(1);
+  HostNumberAllocator after = MakeSeed(1);
   for (int n = 19; n >= 0; --n) {
     CHECK(after.AssignNumber(HostOf(n), seats[n], 20, kStart).number ==
           seats[n].number);
   }
-  const FleetSeat other = after.AssignNumber(HostOf(99), seats[3], 20, kStart);
+  const HostNumber other = after.AssignNumber(HostOf(99), seats[3], 20, kStart);
   CHECK(other.number != seats[3].number);
 }
 
 TEST_CASE("a claimed number out of range is not adopted") {
-  FeedSeating seed = MakeSeed(0);
-  const FleetSeat seat = seed.AssignNumber(
+  HostNumberAllocator seed = MakeSeed(0);
+  const HostNumber seat = seed.AssignNumber(
       HostOf(1), {kSeeds * 1'000'000'000, 1}, 1'000'000'000, kStart);
   CHECK(seat.number == kSeeds);
   CHECK(seat.seats <= 1 << 14);
@@ -97,13 +97,13 @@
 
 // Returns the largest number of turns at any endpoint that the hosts take in
 // total.
-int MaxTurnsTaken(FeedWorld& world) {
+int MaxTurnsTaken(FeedSimulation& world) {
   constexpr int kEndpoints = 10;
   int most = 0;
   for (int endpoint = 0; endpoint < kEndpoints; ++endpoint) {
     int taken = 0;
     for (const auto& [name, host] : world.hosts()) {
-      SeatTurns own;
+      HostQuota own;
       if (host.is_up) {
         own.Draw(EndpointId("e" + std::to_string(endpoint)), kTurns,
                  host.feed->HostNumber(world.now()));
@@ -115,8 +115,8 @@
   return most;
 }
 
-void DisruptHost(FeedWorld& world, const std::string& name) {
-  const FeedWorld::Host& host = world.hosts().at(name);
+void DisruptHost(FeedSimulation& world, const std::string& name) {
+  const FeedSimulation::Host& host = world.hosts().at(name);
   if (!host.is_up) {
     world.Start(name);
   } else if (*rc::gen::inRange(0, 3) == 0) {
@@ -131,7 +131,7 @@
 TEST_CASE("each turn is taken by at most two hosts under any disruption") {
   CHECK(rc::check("seats", [] {
     const int count = *rc::gen::inRange(4, 30);
-    FeedWorld world(count, kSeeds);
+    FeedSimulation world(count, kSeeds);
     world.UseCodec();
     for (int step = 0; step < 40; ++step) {
       DisruptHost(world, "h" + std::to_string(*rc::gen::inRange(0, count)));
--- a/tests/fleet/test_published_feed.cc
+++ b/tests/fleet/test_published_feed.cc
@@ -24,7 +24,7 @@
     "a change reaches all hosts with calls independent of the fleet size") {
   std::uint64_t calls_of_small_fleet = 0;
   for (const int hosts : {10, 100}) {
-    FeedWorld world(hosts, 3);
+    FeedSimulation world(hosts, 3);
     world.AddEndpoint("e1");
     world.Run(seconds(5));
     const std::uint64_t before = world.store_calls();
@@ -94,7 +94,7 @@
 // Fleet budgets are divided by the number of hosts, which is not published. The
 // number must follow when hosts are lost and return.
 TEST_CASE("every host learns the number of hosts") {
-  FeedWorld world(30, 3);
+  FeedSimulation world(30, 3);
   const auto check = [&](std::int64_t hosts) {
     for (const auto& [name, host] : world.hosts()) {
       CAPTURE(name);
@@ -119,7 +119,7 @@
 // restarts while the endpoint is removed. The new process reads a store without
 // the endpoint, so the changes that it sends cannot contain the removal.
 TEST_CASE("a restarted feeder forwards removals that it has not seen") {
-  FeedWorld world(6, 3);
+  FeedSimulation world(6, 3);
   world.AddEndpoint("e1");
   world.AddEndpoint("e2");
   world.Run(seconds(4));
@@ -140,7 +140,7 @@
 // failure.
 TEST_CASE("hosts read the store when their feeder stops confirming") {
   for (const bool frozen : {true, false}) {
-    FeedWorld world(8, 3);
+    FeedSimulation world(8, 3);
     world.AddEndpoint("e1");
     world.Run(seconds(4));
     if (frozen) {
@@ -164,7 +164,7 @@
 // store rejects the seeds and most other hosts and serves the rest; each seed
 // has followers that are served, and learns the change from them.
 TEST_CASE("hosts that the store serves read for seeds that it rejects") {
-  FeedWorld world(40, 3);
+  FeedSimulation world(40, 3);
   world.AddEndpoint("e1");
   world.Run(seconds(4));
   for (int n = 0; n < 30; ++n) {
@@ -190,7 +190,7 @@
 TEST_CASE("calls to an unreachable store do not grow with the fleet") {
   std::uint64_t calls_of_small_fleet = 0;
   for (const int hosts : {30, 300}) {
-    FeedWorld world(hosts, 3);
+    FeedSimulation world(hosts, 3);
     world.Run(seconds(4));
     for (const auto& [name, host] : world.hosts()) {
       world.CutFromStore(name, true);
@@ -219,7 +219,7 @@
 // hosts to wait. Hosts that keep to the announced interval would wait for most
 // of a minute after the store is back.
 TEST_CASE("hosts retry by themselves after their seeds are lost") {
-  FeedWorld world(100, 3);
+  FeedSimulation world(100, 3);
   world.Run(seconds(4));
   for (const auto& [name, host] : world.hosts()) {
     world.CutFromStore(name, true);
@@ -246,12 +246,12 @@
 // next seed, dropped that link as soon as it was fed, and reconnected a second
 // later, repeatedly; removals arrived up to a second late meanwhile.
 TEST_CASE("a host stays with the seed that feeds it") {
-  FeedWorld world(12, 3);
+  FeedSimulation world(12, 3);
   world.Run(seconds(4));
   world.Kill("h0");
   world.Run(seconds(3));
   for (int step = 0; step < 300; ++step) {
-    world.Run(FeedWorld::kStep);
+    world.Run(FeedSimulation::kStep);
     for (const auto& [name, host] : world.hosts()) {
       const bool is_follower = host.is_up && name != "h1" && name != "h2";
       if (!is_follower) {
@@ -269,7 +269,7 @@
 // All seeds are replaced and the settings name new ones, without any restart.
 // Each host must switch to the new seeds, and these must recognize their role.
 TEST_CASE("hosts follow the seeds named by changed settings") {
-  FeedWorld world(12, 3);
+  FeedSimulation world(12, 3);
   world.Run(seconds(4));
   for (const char* it : {"h0", "h1", "h2"}) {
     world.Kill(it);
@@ -324,7 +324,7 @@
 }
 
 TEST_CASE("a host without any reachable seed reads the store") {
-  FeedWorld world(5, 3);
+  FeedSimulation world(5, 3);
   world.Run(seconds(3));
   for (const char* it : {"h0", "h1", "h2"}) {
     world.Kill(it);
@@ -346,7 +346,7 @@
 // has read from a replica. If each of them also read the store before a seed
 // can feed it, a large fleet would make hundreds of calls for the data of two.
 TEST_CASE("hosts that start with replica data wait for their seeds") {
-  FeedWorld world(10, 3, true);
+  FeedSimulation world(10, 3, true);
   world.AddEndpoint("e1");
   world.Run(seconds(4));
   for (int n = 0; n < 10; ++n) {
@@ -377,7 +377,7 @@
   options.address = {"10.0.0.9", 80};
   options.seeds = {{"10.0.0.1", 80}};
   options.early_read = true;
-  RouteBook book;
+  RouteTable book;
   book.version = 2;
   book.services = {{ServiceId("s"), "/health", 250},
                    {ServiceId("t"), "/health", 250}};
@@ -422,7 +422,7 @@
 // The seeds do not return, so the host must read the store before its replica
 // data is too old.
 TEST_CASE("replica data is confirmed in time after a start") {
-  FeedWorld world(5, 3, true);
+  FeedSimulation world(5, 3, true);
   world.AddEndpoint("e1");
   world.Run(seconds(4));
   for (const char* it : {"h0", "h1", "h2", "h4"}) {
@@ -438,7 +438,7 @@
 // reports its decreasing cold time with every heartbeat, and each of these
 // entries was sent to every host of the fleet.
 TEST_CASE("a heartbeat without a relevant change is not forwarded") {
-  FeedWorld world(10, 3);
+  FeedSimulation world(10, 3);
   world.AddEndpoint("e1");
   world.Run(seconds(4));
   const std::uint64_t before = world.entries_sent();
@@ -454,7 +454,7 @@
 // its hosts, which already had them: on a 20 Mbit/s link this took longer than
 // the hosts wait, and all of them read the store.
 TEST_CASE("hosts with replica data receive no entries that they have") {
-  FeedWorld world(10, 3, true);
+  FeedSimulation world(10, 3, true);
   for (int n = 0; n < 50; ++n) {
     world.AddEndpoint("e" + std::to_string(n));
   }
@@ -480,7 +480,7 @@
 // One route of a large book changes. Sending the full book to each host would
 // take longer than the hosts wait, and all of them would read the store.
 TEST_CASE("a small change of a large book is sent as a change") {
-  FeedWorld world(10, 3);
+  FeedSimulation world(10, 3);
   for (std::uint64_t version = 2; version < 12; ++version) {
     world.SetVersion(version);
     world.Run(milliseconds(300));
@@ -509,12 +509,12 @@
   PublishedFeed feed(options, 1);
   const TimePoint now{std::chrono::hours(1)};
   feed.NextStep(now);
-  RouteBook book;
+  RouteTable book;
   book.version = 2;
   feed.OnReadAll({{{20, book}}, 20}, now);
   FeedUpdate update;
   update.after = 20;
-  RouteBookChange change;
+  RouteTableDelta change;
   change.base_version = 1;
   change.version = 3;
   update.changes = {{{30, change}}, 30};
@@ -530,8 +530,8 @@
 enum class Disruption : std::uint8_t { kKill, kStart, kFreeze, kCut };
 
 // Freezing a frozen host, or cutting a cut one, ends that state.
-void Disrupt(FeedWorld& world, const std::string& name, Disruption kind) {
-  const FeedWorld::Host& host = world.hosts().at(name);
+void Disrupt(FeedSimulation& world, const std::string& name, Disruption kind) {
+  const FeedSimulation::Host& host = world.hosts().at(name);
   if (kind == Disruption::kStart) {
     if (!host.is_up) {
       world.Start(name);
@@ -547,7 +547,8 @@
   }
 }
 
-bool IsUndisturbed(const FeedWorld& world, const FeedWorld::Host& host) {
+bool IsUndisturbed(const FeedSimulation& world,
+                   const FeedSimulation::Host& host) {
   return host.is_up && !host.is_frozen && host.reaches_store &&
          world.now() - host.undisturbed_since > kUndisturbedTime;
 }
@@ -560,7 +561,7 @@
   spdlog::set_level(spdlog::level::off);
   for (const bool early_read : {false, true}) {
     CHECK(rc::check("drains", [&] {
-      FeedWorld world(7, 3, early_read);
+      FeedSimulation world(7, 3, early_read);
       world.AddEndpoint("e0");
       world.Run(seconds(3));
       const int events = *rc::gen::inRange(5, 25);
@@ -574,7 +575,7 @@
         }
         const int steps = *rc::gen::inRange(1, 80);
         for (int step = 0; step < steps; ++step) {
-          world.Run(FeedWorld::kStep);
+          world.Run(FeedSimulation::kStep);
           for (const auto& [name, host] : world.hosts()) {
             RC_ASSERT(!IsUndisturbed(world, host) ||
                       world.WrongDrains(host, kPropagationBound).empty());
@@ -593,7 +594,7 @@
   CHECK(rc::check("feeds", [] {
     // Parts of one entry, of a few entries, and full updates.
     const auto part_entries = *rc::gen::element<std::size_t>(1, 3, 1000);
-    FeedWorld world(7, 3, false, part_entries);
+    FeedSimulation world(7, 3, false, part_entries);
     for (int n = 0; n < 4; ++n) {
       world.AddEndpoint("e" + std::to_string(n));
     }
@@ -638,7 +639,7 @@
       }
       const int steps = *rc::gen::inRange(1, 80);
       for (int step = 0; step < steps; ++step) {
-        world.Run(FeedWorld::kStep);
+        world.Run(FeedSimulation::kStep);
         for (auto& [name, checked] : world.hosts()) {
           if (IsUndisturbed(world, checked)) {
             RC_ASSERT(
@@ -666,7 +667,7 @@
   update.hosts = 17;
   update.age = milliseconds(40);
   update.reader = 99;
-  RouteBook book;
+  RouteTable book;
   book.version = 3;
   Route route;
   route.host = "a.example";
@@ -686,7 +687,7 @@
   endpoint.spec.zone = ZoneId("z");
   endpoint.spec.state = ListedState::kLeaving;
   endpoint.cold_for = milliseconds(900);
-  RouteBookChange change;
+  RouteTableDelta change;
   change.base_version = 3;
   change.version = 4;
   change.changed = book.routes;
@@ -715,8 +716,8 @@
         REQUIRE(read.changes.items.size() == 6);
         CHECK(read.changes.items[4] == update.changes.items[4]);
         CHECK(read.changes.items[5] == update.changes.items[5]);
-        CHECK(std::get<RouteBookChange>(read.changes.items[3].value) == change);
-        CHECK(std::get<RouteBook>(read.changes.items[0].value) == book);
+        CHECK(std::get<RouteTableDelta>(read.changes.items[3].value) == change);
+        CHECK(std::get<RouteTable>(read.changes.items[0].value) == book);
         CHECK(std::get<PublishedEndpoint>(read.changes.items[1].value) ==
               endpoint);
         CHECK(std::get<RemovedEndpoint>(read.changes.items[2].value).id ==
@@ -776,7 +777,7 @@
                            UpdateWith("removed", Json::array({"e", 3})),
                            UpdateWith("endpoints", Json::array({1, 2})),
                            UpdateWith("endpoints", 7)}) {
-    const auto fault = FaultOf([&]() -> leaf::result<void> {
+    const auto fault = CaptureError([&]() -> leaf::result<void> {
       BOOST_LEAF_CHECK(FeedUpdate::Parse(body, "feed-update"));
       return {};
     });
--- a/tests/fleet/test_published_view.cc
+++ b/tests/fleet/test_published_view.cc
@@ -43,12 +43,12 @@
 // reported it, however late its writes arrive, and not to the next process.
 TEST_CASE("an endpoint restarted under its ID serves again") {
   PublishedView view;
-  view.TakeChanges(Single(1, MakeEndpoint(100)), false, kStart);
-  view.TakeChanges(Single(2, MakeEndpoint(100, ListedState::kLeaving)), false,
-                   kStart);
-  view.TakeChanges(Single(3, MakeEndpoint(100)), false, kStart);
+  view.ApplyChanges(Single(1, MakeEndpoint(100)), false, kStart);
+  view.ApplyChanges(Single(2, MakeEndpoint(100, ListedState::kLeaving)), false,
+                    kStart);
+  view.ApplyChanges(Single(3, MakeEndpoint(100)), false, kStart);
   CHECK(EndpointIn(view)->state == ListedState::kLeaving);
-  view.TakeChanges(Single(4, MakeEndpoint(200)), false, kStart);
+  view.ApplyChanges(Single(4, MakeEndpoint(200)), false, kStart);
   REQUIRE(EndpointIn(view)->state == ListedState::kLive);
   CHECK(EndpointIn(view)->started_at == EndpointStart(milliseconds(200)));
 }
@@ -59,13 +59,13 @@
 // state, it would exclude the new process until its next heartbeat.
 TEST_CASE("a late entry of a previous process does not replace a newer one") {
   PublishedView view;
-  view.TakeChanges(Single(1, MakeEndpoint(200)), false, kStart);
-  view.TakeChanges(Single(2, MakeEndpoint(100, ListedState::kLeaving)), false,
-                   kStart);
+  view.ApplyChanges(Single(1, MakeEndpoint(200)), false, kStart);
+  view.ApplyChanges(Single(2, MakeEndpoint(100, ListedState::kLeaving)), false,
+                    kStart);
   CHECK(EndpointIn(view) == MakeEndpoint(200).spec);
   const TimePoint heartbeat = kStart + milliseconds(1500);
   view.Advance(heartbeat);
-  view.TakeChanges(Single(3, MakeEndpoint(200)), false, heartbeat);
+  view.ApplyChanges(Single(3, MakeEndpoint(200)), false, heartbeat);
   view.Advance(heartbeat + seconds(10));
   CHECK(EndpointIn(view) == MakeEndpoint(200).spec);
   CHECK(!view.NextChange());
@@ -76,12 +76,12 @@
 // longer than a heartbeat belongs to the live process.
 TEST_CASE("an earlier start is used if nothing replaces it") {
   PublishedView view;
-  view.TakeChanges(Single(1, MakeEndpoint(900)), false, kStart);
-  view.TakeChanges(Single(2, MakeEndpoint(100)), false, kStart);
+  view.ApplyChanges(Single(1, MakeEndpoint(900)), false, kStart);
+  view.ApplyChanges(Single(2, MakeEndpoint(100)), false, kStart);
   REQUIRE(view.NextChange());
   CHECK(*view.NextChange() == kStart + PublishedView::kEarlierStartGrace);
   // Reading the same entry again does not restart the wait.
-  view.TakeAll(Single(2, MakeEndpoint(100)), false, kStart + seconds(1));
+  view.ApplyFullRead(Single(2, MakeEndpoint(100)), false, kStart + seconds(1));
   view.Advance(kStart + PublishedView::kEarlierStartGrace);
   CHECK(EndpointIn(view) == MakeEndpoint(100).spec);
 }
@@ -92,13 +92,13 @@
 TEST_CASE("an increased cold time is a change, a decreasing one is not") {
   PublishedView view;
   PublishedEndpoint endpoint = MakeEndpoint(100);
-  view.TakeChanges(Single(1, endpoint), false, kStart);
+  view.ApplyChanges(Single(1, endpoint), false, kStart);
   endpoint.cold_for = seconds(3);
-  view.TakeChanges(Single(2, endpoint), false, kStart + seconds(10));
+  view.ApplyChanges(Single(2, endpoint), false, kStart + seconds(10));
   CHECK(EndpointIn(view)->cold_until == kStart + seconds(13));
   CHECK(view.TakeChanged());
   endpoint.cold_for = milliseconds(1600);
-  view.TakeChanges(Single(3, endpoint), false, kStart + milliseconds(11500));
+  view.ApplyChanges(Single(3, endpoint), false, kStart + milliseconds(11500));
   CHECK(!view.TakeChanged());
   CHECK(view.ChangesAfter(2, kStart).items.empty());
   const PublishedItems changes = view.ChangesAfter(1, kStart + seconds(12));
@@ -109,10 +109,10 @@
 
 TEST_CASE("a follower waits by itself before it uses an earlier start") {
   PublishedView feeder;
-  feeder.TakeChanges(Single(1, MakeEndpoint(900)), false, kStart);
-  feeder.TakeChanges(Single(2, MakeEndpoint(100)), false, kStart);
+  feeder.ApplyChanges(Single(1, MakeEndpoint(900)), false, kStart);
+  feeder.ApplyChanges(Single(2, MakeEndpoint(100)), false, kStart);
   PublishedView follower;
-  follower.TakeChanges(feeder.ChangesAfter(0, kStart), false, kStart);
+  follower.ApplyChanges(feeder.ChangesAfter(0, kStart), false, kStart);
   CHECK(EndpointIn(follower) == MakeEndpoint(900).spec);
   follower.Advance(kStart + PublishedView::kEarlierStartGrace);
   CHECK(EndpointIn(follower) == MakeEndpoint(100).spec);
@@ -120,9 +120,9 @@
 
 TEST_CASE("an entry with a start time after one without is a new process") {
   PublishedView view;
-  view.TakeChanges(Single(1, MakeEndpoint(0, ListedState::kLeaving)), false,
-                   kStart);
-  view.TakeChanges(Single(2, MakeEndpoint(5)), false, kStart);
+  view.ApplyChanges(Single(1, MakeEndpoint(0, ListedState::kLeaving)), false,
+                    kStart);
+  view.ApplyChanges(Single(2, MakeEndpoint(5)), false, kStart);
   CHECK(EndpointIn(view) == MakeEndpoint(5).spec);
 }
 
@@ -131,33 +131,33 @@
 // target, so the endpoint gets no requests until it writes again.
 TEST_CASE("an unusable entry removes its endpoint at once") {
   PublishedView view;
-  view.TakeChanges(Single(1, MakeEndpoint(100)), false, kStart);
+  view.ApplyChanges(Single(1, MakeEndpoint(100)), false, kStart);
   const UnusableEndpoint foreign{
       EndpointId("e1"), {ErrorKind::kWrongType, "e1", "7", "find the writer"}};
   // Also after an outage: the key exists, so no lease has expired.
-  view.TakeChanges(Single(2, foreign), true, kStart);
+  view.ApplyChanges(Single(2, foreign), true, kStart);
   CHECK(!EndpointIn(view));
   CHECK(view.TakeRefused().size() == 1);
   for (int n = 0; n < 5; ++n) {
-    view.TakeAll(Single(2, foreign), false, kStart);
+    view.ApplyFullRead(Single(2, foreign), false, kStart);
   }
   CHECK(view.TakeRefused().empty());
-  view.TakeChanges(Single(3, MakeEndpoint(100)), false, kStart);
+  view.ApplyChanges(Single(3, MakeEndpoint(100)), false, kStart);
   CHECK(EndpointIn(view) == MakeEndpoint(100).spec);
   // An older full read does not undo it.
-  view.TakeAll(Single(2, foreign), false, kStart);
+  view.ApplyFullRead(Single(2, foreign), false, kStart);
   CHECK(EndpointIn(view) == MakeEndpoint(100).spec);
 }
 
 TEST_CASE("a follower does not use entries that its feeder cannot use") {
   PublishedView feeder;
-  feeder.TakeAll(Single(1, MakeEndpoint(100)), false, kStart);
+  feeder.ApplyFullRead(Single(1, MakeEndpoint(100)), false, kStart);
   PublishedView follower;
-  follower.TakeAll(feeder.ChangesAfter(0, kStart), false, kStart);
+  follower.ApplyFullRead(feeder.ChangesAfter(0, kStart), false, kStart);
   REQUIRE(EndpointIn(follower));
-  feeder.TakeChanges(Single(2, UnusableEndpoint{EndpointId("e1"), {}}), false,
-                     kStart);
-  follower.TakeChanges(feeder.ChangesAfter(1, kStart), false, kStart);
+  feeder.ApplyChanges(Single(2, UnusableEndpoint{EndpointId("e1"), {}}), false,
+                      kStart);
+  follower.ApplyChanges(feeder.ChangesAfter(1, kStart), false, kStart);
   CHECK(!EndpointIn(follower));
 }
 
@@ -167,7 +167,7 @@
   const Json json = update.ToJson();
   const auto parse = [](const Json& it) {
     FeedUpdate parsed;
-    const auto fault = FaultOf([&]() -> leaf::result<void> {
+    const auto fault = CaptureError([&]() -> leaf::result<void> {
       BOOST_LEAF_ASSIGN(parsed, FeedUpdate::Parse(it, "update"));
       return {};
     });
@@ -229,7 +229,7 @@
           static_cast<Revision>(last)};
       const auto before = EndpointIn(view);
       const TimePoint due = view.NextChange().value_or(TimePoint::max());
-      view.TakeChanges(part, false, now);
+      view.ApplyChanges(part, false, now);
       const bool was_gone = std::ranges::any_of(part.items, [](const auto& it) {
         return !std::holds_alternative<PublishedEndpoint>(it.value);
       });
@@ -241,7 +241,7 @@
     const PublishedItems all{history.items, history.items.size()};
     PublishedView fresh;
     for (PublishedView* it : {&view, &fresh}) {
-      it->TakeChanges(all, false, now);
+      it->ApplyChanges(all, false, now);
       it->Advance(now + seconds(5));
     }
     const auto* last =
@@ -268,10 +268,10 @@
   }
   all.current = kEndpoints;
   PublishedView view;
-  view.TakeAll(all, false, kStart);
+  view.ApplyFullRead(all, false, kStart);
   for (Revision n = 1; n < kEndpoints; ++n) {
     const RemovedEndpoint removed{EndpointId("e" + std::to_string(n))};
-    view.TakeChanges(Single(kEndpoints + n, removed), false, kStart);
+    view.ApplyChanges(Single(kEndpoints + n, removed), false, kStart);
     const PublishedPart part =
         view.PartAfter(kEndpoints + n - 1, {}, 10, kStart);
     REQUIRE_FALSE(part.whole);
