--- a/fleet/early_read_filter.cc
+++ b/fleet/early_read_filter.cc
@@ -23,25 +23,26 @@
 
 namespace {
 
-bool IsBook(const PublishedItem& item) {
+bool IsRouteTable(const PublishedItem& item) {
   return std::holds_alternative<RouteTable>(item.value);
 }
 
 }  // namespace
 
 bool IsOperatorItem(const PublishedItem& item) {
-  return IsBook(item) || std::holds_alternative<ZoneDrain>(item.value);
+  return IsRouteTable(item) || std::holds_alternative<ZoneDrain>(item.value);
 }
 
 bool HasEndpointsForEachService(const PublishedItems& items) {
-  const auto book = std::ranges::find_if(items.items, IsBook);
-  if (book == items.items.end()) {
+  const auto table = std::ranges::find_if(items.items, IsRouteTable);
+  if (table == items.items.end()) {
     return false;
   }
-  return std::ranges::all_of(
-      std::get<RouteTable>(book->value).services, [&](const ServiceTraits& it) {
-        return CountLive(items, it.id) >= kMinEndpointsPerService;
-      });
+  return std::ranges::all_of(std::get<RouteTable>(table->value).services,
+                             [&](const ServiceTraits& it) {
+                               return CountLive(items, it.id) >=
+                                      kMinEndpointsPerService;
+                             });
 }
 
 }  // namespace damasktack
--- a/fleet/host_number_allocator.cc
+++ b/fleet/host_number_allocator.cc
@@ -77,8 +77,8 @@
 }
 
 void HostNumberAllocator::OnNumberAssigned(const HostId& seed,
-                                           const HostNumber& seat) {
-  assigned_ = seat;
+                                           const HostNumber& number) {
+  assigned_ = number;
   assigned_by_ = seed;
   expires_at_.reset();
 }
--- a/fleet/host_number_allocator.h
+++ b/fleet/host_number_allocator.h
@@ -40,7 +40,7 @@
   void RaiseNumberLimit(std::int64_t limit);
   // On any other host: a seed has assigned a number, or the link to a seed is
   // up or down.
-  void OnNumberAssigned(const HostId& seed, const HostNumber& seat);
+  void OnNumberAssigned(const HostId& seed, const HostNumber& number);
   void OnLinkUp(const HostId& seed);
   void OnLinkDown(const HostId& seed, TimePoint now);
 
--- a/fleet/published_feed.cc
+++ b/fleet/published_feed.cc
@@ -271,7 +271,7 @@
   return Jittered(backoff_);
 }
 
-HostNumber PublishedFeed::HostNumber(TimePoint now) const {
+HostNumber PublishedFeed::OwnHostNumber(TimePoint now) const {
   const bool is_settled =
       started_at_ && now - *started_at_ >= options_.number_settling_time;
   return is_settled ? numbers_.OwnNumber(now) : HostNumber();
@@ -343,7 +343,7 @@
     OnHello(host, *hello, now, out);
   } else if (const auto* assigned =
                  std::get_if<FeedNumberAssignment>(&message)) {
-    numbers_.OnNumberAssigned(host, assigned->seat);
+    numbers_.OnNumberAssigned(host, assigned->host_number);
   } else if (const auto* update = std::get_if<FeedUpdate>(&message)) {
     OnUpdate(host, *update, {}, now, out);
   } else if (const auto* part = std::get_if<FeedPart>(&message)) {
@@ -366,12 +366,12 @@
   if (peers_.Follows(peer) && confirmed_at_ && is_behind) {
     SendUpdate({host}, peer.sent, now, out);
   }
-  numbers_.RaiseNumberLimit(hello.seat.seats);
+  numbers_.RaiseNumberLimit(hello.host_number.seats);
   if (IsSeed() && !peer.IsSeed()) {
-    const HostNumber seat = numbers_.AssignNumber(
-        host, hello.seat, peers_.MaxFollowersOfOtherSeeds(), now);
-    if (seat != hello.seat) {
-      out.Send(host, FeedNumberAssignment{seat});
+    const HostNumber host_number = numbers_.AssignNumber(
+        host, hello.host_number, peers_.MaxFollowersOfOtherSeeds(), now);
+    if (host_number != hello.host_number) {
+      out.Send(host, FeedNumberAssignment{host_number});
     }
   }
 }
@@ -405,7 +405,7 @@
   view_.ApplyPart(range, update.changes,
                   update.whole ? &update.present : nullptr, update.after_outage,
                   now);
-  if (view_.TakeNeedsFullBook()) {
+  if (view_.TakeNeedsFullTable()) {
     peers_.at(host).transfer = {};
     FeedHello hello = Hello(now);
     hello.revision = 0;
--- a/fleet/published_feed.h
+++ b/fleet/published_feed.h
@@ -70,7 +70,7 @@
   std::int64_t KnownHosts() const;
   // Returns this host's number in the fleet. Unknown until a seed has assigned
   // one and `number_settling_time` has passed since the start.
-  HostNumber HostNumber(TimePoint now) const;
+  HostNumber OwnHostNumber(TimePoint now) const;
 
  private:
   void UpdateRank();
--- a/fleet/published_loop.cc
+++ b/fleet/published_loop.cc
@@ -198,8 +198,9 @@
   const std::int64_t hosts = feed_.KnownHosts();
   const bool has_new_size =
       hosts != reported_hosts_ && IsNewSize(reported_hosts_, hosts);
-  const HostNumber seat = feed_.HostNumber(now);
-  const bool has_new_number = seat != std::exchange(reported_number_, seat);
+  const HostNumber host_number = feed_.OwnHostNumber(now);
+  const bool has_new_number =
+      host_number != std::exchange(reported_number_, host_number);
   const bool changed =
       feed_.view().TakeChanged() || has_new_size || has_new_number;
   std::unique_lock notify_lock(notify_mutex_, std::defer_lock);
@@ -215,7 +216,7 @@
     }
     const PublishedView& view = feed_.view();
     state = {view.routes(), view.Endpoints(), view.drained_zones().InForce(),
-             reported_hosts_, seat};
+             reported_hosts_, host_number};
   }
   lock.unlock();
   if (changed) {
--- a/fleet/published_messages.cc
+++ b/fleet/published_messages.cc
@@ -16,11 +16,11 @@
 
 constexpr std::int64_t kMaxCount = 1'000'000'000'000;
 
-// Route books and their changes keep their order; all other items of an update
-// are written as tables.
+// Route tables and their deltas keep their order; all other items of an update
+// are written as rows of values.
 std::optional<Json> RoutesToJson(const PublishedItem& item) {
-  if (const auto* book = std::get_if<RouteTable>(&item.value)) {
-    return Json{{"revision", item.revision}, {"routes", ToJson(*book)}};
+  if (const auto* table = std::get_if<RouteTable>(&item.value)) {
+    return Json{{"revision", item.revision}, {"routes", ToJson(*table)}};
   }
   if (const auto* change = std::get_if<RouteTableDelta>(&item.value)) {
     return Json{{"revision", item.revision},
@@ -34,21 +34,21 @@
   PublishedItem item;
   JsonReader reader(json, path);
   reader.Read("revision", item.revision);
-  const Json* book = reader.OptionalObject("routes");
+  const Json* table = reader.OptionalObject("routes");
   const Json* change =
-      book == nullptr ? reader.Object("routes_change") : nullptr;
+      table == nullptr ? reader.Object("routes_change") : nullptr;
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
-  if (book != nullptr) {
-    BOOST_LEAF_ASSIGN(item.value, ParseRouteTable(*book, path));
+  if (table != nullptr) {
+    BOOST_LEAF_ASSIGN(item.value, ParseRouteTable(*table, path));
   } else {
     BOOST_LEAF_ASSIGN(item.value, ParseRouteTableDelta(*change, path));
   }
   return item;
 }
 
-leaf::result<void> ParseBooks(const Json& json,
-                              const std::string& path,
-                              std::vector<PublishedItem>& items) {
+leaf::result<void> ParseRouteTables(const Json& json,
+                                    const std::string& path,
+                                    std::vector<PublishedItem>& items) {
   for (const Json& it : json) {
     BOOST_LEAF_AUTO(item, ParseRoutesItem(it, path));
     items.push_back(std::move(item));
@@ -98,9 +98,12 @@
 }  // namespace
 
 Json FeedHello::ToJson() const {
-  return Json{{"rank", rank},         {"address", ToString(address)},
-              {"revision", revision}, {"followers", followers},
-              {"seat", seat.number},  {"seats", seat.seats}};
+  return Json{{"rank", rank},
+              {"address", ToString(address)},
+              {"revision", revision},
+              {"followers", followers},
+              {"seat", host_number.number},
+              {"seats", host_number.seats}};
 }
 
 leaf::result<FeedHello> FeedHello::Parse(const Json& json,
@@ -111,17 +114,18 @@
   reader.Read("address", hello.address);
   reader.Read("revision", hello.revision);
   reader.ReadOptional("followers", hello.followers, 0, kMaxCount);
-  reader.ReadOptional("seat", hello.seat.number, HostNumber::kNone, kMaxCount);
-  reader.ReadOptional("seats", hello.seat.seats, 0, kMaxCount);
+  reader.ReadOptional("seat", hello.host_number.number, HostNumber::kNone,
+                      kMaxCount);
+  reader.ReadOptional("seats", hello.host_number.seats, 0, kMaxCount);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   return hello;
 }
 
 Json FeedUpdate::ToJson() const {
-  Json books = Json::array();
+  Json tables = Json::array();
   for (const PublishedItem& it : changes.items) {
     if (std::optional<Json> json = RoutesToJson(it)) {
-      books.push_back(std::move(*json));
+      tables.push_back(std::move(*json));
     }
   }
   Json json{{"after", after},
@@ -132,7 +136,7 @@
             {"after_outage", after_outage},
             {"hosts", hosts}};
   if (!changes.items.empty()) {
-    json["books"] = std::move(books);
+    json["books"] = std::move(tables);
     json["endpoints"] = EndpointsToJson(changes.items);
     json["removed"] = RemovalsToJson(changes.items);
     json["zone_drains"] = ZoneDrainsToJson(changes.items);
@@ -156,14 +160,14 @@
   reader.ReadOptional("after_outage", update.after_outage);
   reader.ReadOptional("hosts", update.hosts, 0, kMaxCount);
   reader.ReadOptional("present", present);
-  const Json* books = reader.OptionalArray("books");
+  const Json* tables = reader.OptionalArray("books");
   const Json* endpoints = reader.OptionalObject("endpoints");
   const Json* removed = reader.OptionalArray("removed");
   const Json* drains = reader.OptionalArray("zone_drains");
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   std::vector<PublishedItem>& items = update.changes.items;
-  if (books != nullptr) {
-    BOOST_LEAF_CHECK(ParseBooks(*books, path, items));
+  if (tables != nullptr) {
+    BOOST_LEAF_CHECK(ParseRouteTables(*tables, path, items));
   }
   if (endpoints != nullptr) {
     BOOST_LEAF_CHECK(ParseEndpoints(*endpoints, path, items));
@@ -203,7 +207,7 @@
 }
 
 Json FeedNumberAssignment::ToJson() const {
-  return Json{{"seat", seat.number}, {"seats", seat.seats}};
+  return Json{{"seat", host_number.number}, {"seats", host_number.seats}};
 }
 
 leaf::result<FeedNumberAssignment> FeedNumberAssignment::Parse(
@@ -211,13 +215,13 @@
     const std::string& path) {
   FeedNumberAssignment message;
   JsonReader reader(json, path);
-  reader.Read("seat", message.seat.number, 0, kMaxCount);
-  reader.Read("seats", message.seat.seats, 1, kMaxCount);
+  reader.Read("seat", message.host_number.number, 0, kMaxCount);
+  reader.Read("seats", message.host_number.seats, 1, kMaxCount);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
-  if (message.seat.number >= message.seat.seats) {
+  if (message.host_number.number >= message.host_number.seats) {
     return Fail(ErrorKind::kOutOfRange, path + ".seat",
-                std::to_string(message.seat.number) + " of " +
-                    std::to_string(message.seat.seats),
+                std::to_string(message.host_number.number) + " of " +
+                    std::to_string(message.host_number.seats),
                 "check that the sender is a daemon of this system");
   }
   return message;
--- a/fleet/published_messages.h
+++ b/fleet/published_messages.h
@@ -28,7 +28,7 @@
   // Number of non-seed hosts that the sender feeds.
   std::int64_t followers = 0;
   // Host number of the sender; unknown until a seed has assigned one.
-  HostNumber seat;
+  HostNumber host_number;
 
   static constexpr std::int64_t kNoSeed = 1'000'000;
 
@@ -97,7 +97,7 @@
 struct FeedNumberAssignment {
   static constexpr std::string_view kKind = "feed-seat";
 
-  HostNumber seat;
+  HostNumber host_number;
 
   Json ToJson() const;
   static leaf::result<FeedNumberAssignment> Parse(const Json& json,
--- a/fleet/published_source.h
+++ b/fleet/published_source.h
@@ -48,7 +48,7 @@
 };
 
 // RouteTableDelta is only received from peers; the store always holds the full
-// book.
+// table.
 using PublishedValue = std::variant<RouteTable,
                                     RouteTableDelta,
                                     PublishedEndpoint,
--- a/fleet/published_view.cc
+++ b/fleet/published_view.cc
@@ -12,16 +12,16 @@
 // Maximum number of recorded removals; the oldest are discarded first. Far more
 // than the removals within the seconds for which an old read can be delayed.
 constexpr std::size_t kMaxRecordedRemovals = 4096;
-// Maximum number of kept route changes, and the minimum ratio of book size to
-// change size for which a change is kept instead of sending the full book. A
+// Maximum number of kept route changes, and the minimum ratio of table size to
+// change size for which a change is kept instead of sending the full table. A
 // peer is usually one or two changes behind, more when changes follow each
 // other within a second.
-constexpr std::size_t kMaxBookTransitions = 8;
+constexpr std::size_t kMaxTableTransitions = 8;
 // Maximum number of endpoints whose rejection is recorded. Beyond it all
 // records are cleared and rejections are reported once more. Far more than one
 // faulty writer leaves in a store.
 constexpr std::size_t kMaxRecordedRefusals = 4096;
-constexpr std::size_t kMinBookToChangeRatio = 4;
+constexpr std::size_t kMinTableToDeltaRatio = 4;
 
 // An endpoint whose remaining cold time exceeds the expected one by at least
 // this much has become cold again; the jitter of heartbeats and of their
@@ -42,8 +42,8 @@
   constexpr std::size_t kEntriesPerRoute = 2;
   std::size_t routes = 0;
   for (const PublishedItem& it : items.items) {
-    if (const auto* book = std::get_if<RouteTable>(&it.value)) {
-      routes += book->routes.size();
+    if (const auto* table = std::get_if<RouteTable>(&it.value)) {
+      routes += table->routes.size();
     } else if (const auto* step = std::get_if<RouteTableDelta>(&it.value)) {
       routes += step->changed.size() + step->removed.size();
     }
@@ -90,8 +90,8 @@
     }
   }
   // With the new revision this host would count as up to date, and its feeder
-  // would not send the missing book.
-  if (needs_full_book_) {
+  // would not send the missing table.
+  if (needs_full_table_) {
     return;
   }
   if (present != nullptr) {
@@ -168,8 +168,8 @@
 void PublishedView::Apply(const PublishedItem& item,
                           bool after_outage,
                           TimePoint now) {
-  if (const auto* book = std::get_if<RouteTable>(&item.value)) {
-    ApplyRoutes(*book, item.revision);
+  if (const auto* table = std::get_if<RouteTable>(&item.value)) {
+    ApplyRoutes(*table, item.revision);
   } else if (const auto* change = std::get_if<RouteTableDelta>(&item.value)) {
     ApplyRoutesChange(*change, item.revision);
   } else if (const auto* endpoint =
@@ -238,18 +238,18 @@
   removal_order_.erase(oldest);
 }
 
-void PublishedView::ApplyRoutes(const RouteTable& book, Revision revision) {
-  if (routes_ && book.version <= routes_->version) {
+void PublishedView::ApplyRoutes(const RouteTable& table, Revision revision) {
+  if (routes_ && table.version <= routes_->version) {
     return;
   }
   const std::optional<Error> error =
-      CaptureError([&] { return CheckRouteTable(book); });
+      CaptureError([&] { return CheckRouteTable(table); });
   if (error) {
     refused_.push_back(*error);
     return;
   }
-  RecordBookTransition(book, revision);
-  routes_ = std::make_shared<RouteTable>(book);
+  RecordTableTransition(table, revision);
+  routes_ = std::make_shared<RouteTable>(table);
   routes_revision_ = revision;
   changed_ = true;
 }
@@ -260,34 +260,34 @@
     return;
   }
   // A feeder that read the store at other times may have merged several
-  // versions into one change. Applied to a different book, the change would
+  // versions into one change. Applied to a different table, the change would
   // keep routes that were removed in between.
   if (!routes_ || change.base_version != routes_->version) {
-    needs_full_book_ = true;
+    needs_full_table_ = true;
     return;
   }
   ApplyRoutes(ApplyChange(*routes_, change), revision);
 }
 
-void PublishedView::RecordBookTransition(const RouteTable& book,
-                                         Revision revision) {
+void PublishedView::RecordTableTransition(const RouteTable& table,
+                                          Revision revision) {
   if (!routes_) {
     return;
   }
-  RouteTableDelta change = DiffRouteTables(*routes_, book);
+  RouteTableDelta change = DiffRouteTables(*routes_, table);
   const std::size_t size = change.changed.size() + change.removed.size();
-  if (size * kMinBookToChangeRatio > book.routes.size()) {
-    // Peers with an earlier book need the full one.
-    book_transitions_.clear();
+  if (size * kMinTableToDeltaRatio > table.routes.size()) {
+    // Peers with an earlier table need the full one.
+    table_transitions_.clear();
     return;
   }
-  book_transitions_.push_back({routes_revision_, revision, std::move(change)});
-  if (book_transitions_.size() > kMaxBookTransitions) {
-    book_transitions_.pop_front();
+  table_transitions_.push_back({routes_revision_, revision, std::move(change)});
+  if (table_transitions_.size() > kMaxTableTransitions) {
+    table_transitions_.pop_front();
   }
 }
 
-// A peer that has everything up to `after` holds the book that was current
+// A peer that has everything up to `after` holds the table that was current
 // then, which is the base of the first change after `after` if that change is
 // still kept.
 void PublishedView::AddRoutesAfter(Revision after, PublishedItems& out) const {
@@ -295,13 +295,13 @@
     return;
   }
   const auto first = std::ranges::find_if(
-      book_transitions_,
-      [&](const BookTransition& it) { return it.revision > after; });
-  if (first == book_transitions_.end() || first->base > after) {
+      table_transitions_,
+      [&](const RouteTableTransition& it) { return it.revision > after; });
+  if (first == table_transitions_.end() || first->base > after) {
     out.items.push_back({routes_revision_, *routes_});
     return;
   }
-  for (auto it = first; it != book_transitions_.end(); ++it) {
+  for (auto it = first; it != table_transitions_.end(); ++it) {
     out.items.push_back({it->revision, it->change});
   }
 }
@@ -515,8 +515,8 @@
   }
 }
 
-bool PublishedView::TakeNeedsFullBook() {
-  return std::exchange(needs_full_book_, false);
+bool PublishedView::TakeNeedsFullTable() {
+  return std::exchange(needs_full_table_, false);
 }
 
 bool PublishedView::TakeChanged() {
--- a/fleet/published_view.h
+++ b/fleet/published_view.h
@@ -83,8 +83,8 @@
   // Whether the view has changed since the last call.
   bool TakeChanged();
   // Whether, since the last call, a route change arrived whose base is not the
-  // current book, so that the full book must be requested.
-  bool TakeNeedsFullBook();
+  // current table, so that the full table must be requested.
+  bool TakeNeedsFullTable();
   // Returns the errors of values rejected since the last call; each value is
   // reported once, however often it is read.
   std::vector<Error> TakeRefused();
@@ -124,9 +124,9 @@
               TimePoint now);
   // Records that the view is complete up to a revision.
   void MarkCompleteAt(Revision revision);
-  void ApplyRoutes(const RouteTable& book, Revision revision);
+  void ApplyRoutes(const RouteTable& table, Revision revision);
   void ApplyRoutesChange(const RouteTableDelta& change, Revision revision);
-  void RecordBookTransition(const RouteTable& book, Revision revision);
+  void RecordTableTransition(const RouteTable& table, Revision revision);
   void AddRoutesAfter(Revision after, PublishedItems& out) const;
   void AddRoutesAndDrains(Revision after, PublishedPart& part) const;
   static void AddRemovalAfter(
@@ -152,17 +152,17 @@
 
   std::shared_ptr<const RouteTable> routes_;
   Revision routes_revision_ = 0;
-  struct BookTransition {
-    // Revisions of the book before and after the change.
+  struct RouteTableTransition {
+    // Revisions of the table before and after the change.
     Revision base = 0;
     Revision revision = 0;
     RouteTableDelta change;
   };
 
-  // Consecutive changes that lead to the current book, for peers that hold an
+  // Consecutive changes that lead to the current table, for peers that hold an
   // earlier one.
-  std::deque<BookTransition> book_transitions_;
-  bool needs_full_book_ = false;
+  std::deque<RouteTableTransition> table_transitions_;
+  bool needs_full_table_ = false;
   std::map<EndpointId, Entry> endpoints_;
   // Removed endpoints with the revision of their removal, so that an older read
   // does not restore them; and ordered by that revision, to discard the oldest
--- a/fleet/route_messages.cc
+++ b/fleet/route_messages.cc
@@ -192,27 +192,27 @@
 
 }  // namespace
 
-Json ToJson(const RouteTable& book) {
-  return Json{{"version", book.version},
-              {"routes", RoutesToJson(book.routes)},
-              {"services", ListToJson(book.services)},
-              {"limits", ToJson(book.limits)}};
+Json ToJson(const RouteTable& table) {
+  return Json{{"version", table.version},
+              {"routes", RoutesToJson(table.routes)},
+              {"services", ListToJson(table.services)},
+              {"limits", ToJson(table.limits)}};
 }
 
 leaf::result<RouteTable> ParseRouteTable(const Json& json,
                                          const std::string& path) {
-  RouteTable book;
+  RouteTable table;
   JsonReader reader(json, path);
-  reader.Read("version", book.version);
+  reader.Read("version", table.version);
   const Json* routes = reader.Object("routes");
   const Json* services = reader.Array("services");
   const Json* limits = reader.Object("limits");
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
-  BOOST_LEAF_ASSIGN(book.routes, ParseRoutes(*routes, path));
-  BOOST_LEAF_ASSIGN(book.services,
+  BOOST_LEAF_ASSIGN(table.routes, ParseRoutes(*routes, path));
+  BOOST_LEAF_ASSIGN(table.services,
                     ParseList<ServiceTraits>(*services, path, ParseTraits));
-  BOOST_LEAF_ASSIGN(book.limits, ParseLimits(*limits, path));
-  return book;
+  BOOST_LEAF_ASSIGN(table.limits, ParseLimits(*limits, path));
+  return table;
 }
 
 Json ToJson(const RouteTableDelta& change) {
--- a/fleet/route_messages.h
+++ b/fleet/route_messages.h
@@ -8,10 +8,10 @@
 
 namespace damasktack {
 
-// Encodes route books, and changes between them, for messages between hosts.
-// Routes are written as a table, because a seed sends a large book to many
+// Encodes route tables, and changes between them, for messages between hosts.
+// Routes are written as a table, because a seed sends a large table to many
 // hosts at once.
-Json ToJson(const RouteTable& book);
+Json ToJson(const RouteTable& table);
 leaf::result<RouteTable> ParseRouteTable(const Json& json,
                                          const std::string& path);
 
--- a/tests/fleet/feed_simulation.h
+++ b/tests/fleet/feed_simulation.h
@@ -61,19 +61,19 @@
 
   // Changes in the store.
   void SetVersion(std::uint64_t version) {
-    book_.version = version;
+    table_.version = version;
     Route route;
     route.host = "a.example";
     route.prefix = "/" + std::to_string(version) + "/";
     route.targets = {{ServiceId("s"), 1}};
     route.contract.customer = CustomerId("r");
-    book_.services = {{ServiceId("s"), "/health", 250}};
-    book_.routes.push_back(route);
-    if (book_.routes.size() > kMaxRoutes) {
-      book_.routes.erase(book_.routes.begin());
+    table_.services = {{ServiceId("s"), "/health", 250}};
+    table_.routes.push_back(route);
+    if (table_.routes.size() > kMaxRoutes) {
+      table_.routes.erase(table_.routes.begin());
     }
-    books_[version] = book_;
-    book_revision_ = ++revision_;
+    tables_[version] = table_;
+    table_revision_ = ++revision_;
   }
   // A removed endpoint may be published again unchanged.
   void AddEndpoint(const std::string& id) {
@@ -225,13 +225,13 @@
     }
     const auto by_name = [](const Route& it) { return it.prefix; };
     std::vector<Route> has = routes->routes;
-    std::vector<Route> wants = books_.at(routes->version).routes;
+    std::vector<Route> wants = tables_.at(routes->version).routes;
     std::ranges::sort(has, {}, by_name);
     std::ranges::sort(wants, {}, by_name);
     return has == wants;
   }
-  // Number of full route books sent so far.
-  std::uint64_t books_sent() const { return books_sent_; }
+  // Number of full route tables sent so far.
+  std::uint64_t tables_sent() const { return tables_sent_; }
   // Number of endpoint entries in all messages so far.
   std::uint64_t entries_sent() const { return entries_sent_; }
   std::uint64_t VersionOf(const Host& host) const {
@@ -357,8 +357,8 @@
   PublishedItems Items(Revision after) const {
     PublishedItems items;
     items.current = revision_;
-    if (book_revision_ > after) {
-      items.items.push_back({book_revision_, book_});
+    if (table_revision_ > after) {
+      items.items.push_back({table_revision_, table_});
     }
     for (const auto& [zone, it] : drains_) {
       // A read returns active drains; a watch also returns ended ones.
@@ -414,7 +414,7 @@
       return;
     }
     for (const PublishedItem& it : update->changes.items) {
-      books_sent_ += std::holds_alternative<RouteTable>(it.value) ? 1 : 0;
+      tables_sent_ += std::holds_alternative<RouteTable>(it.value) ? 1 : 0;
       entries_sent_ += std::holds_alternative<PublishedEndpoint>(it.value);
     }
   }
@@ -437,11 +437,11 @@
   TimePoint now_{std::chrono::hours(1)};
   std::map<std::string, Host> hosts_;
   std::deque<Frame> frames_;
-  RouteTable book_;
-  std::map<std::uint64_t, RouteTable> books_;
-  std::uint64_t books_sent_ = 0;
+  RouteTable table_;
+  std::map<std::uint64_t, RouteTable> tables_;
+  std::uint64_t tables_sent_ = 0;
   std::uint64_t entries_sent_ = 0;
-  Revision book_revision_ = 0;
+  Revision table_revision_ = 0;
   std::map<std::string, std::pair<Revision, PublishedEndpoint>> endpoints_;
   std::map<std::string, TimePoint> added_at_;
   std::map<std::string, Drain> drains_;
--- a/tests/fleet/test_feed_parts.cc
+++ b/tests/fleet/test_feed_parts.cc
@@ -2,7 +2,7 @@
 
 #include <string>
 
-#include "feed_world.h"
+#include "feed_simulation.h"
 
 namespace damasktack {
 namespace {
--- a/tests/fleet/test_host_number_allocator.cc
+++ b/tests/fleet/test_host_number_allocator.cc
@@ -18,8 +18,8 @@
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
 constexpr std::int64_t kSeeds = 3;
-// Turns at each endpoint, shared by all hosts.
-constexpr int kTurns = 5;
+// Quota units of each endpoint, shared by all hosts.
+constexpr int kQuotaUnits = 5;
 
 HostNumberAllocator MakeSeed(std::int64_t rank) {
   HostNumberAllocator seed;
@@ -36,23 +36,24 @@
   for (std::int64_t rank = 0; rank < kSeeds; ++rank) {
     HostNumberAllocator seed = MakeSeed(rank);
     for (int n = 0; n < 40; ++n) {
-      const HostNumber seat =
+      const HostNumber host_number =
           seed.AssignNumber(HostOf(n), HostNumber(), 40, kStart);
-      CHECK(seat.number < seat.seats);
-      ++holders[seat.number];
+      CHECK(host_number.number < host_number.seats);
+      ++holders[host_number.number];
     }
     ++holders[seed.OwnNumber(kStart).number];
   }
   CHECK(holders.size() == 41 * kSeeds);
 }
 
-// Guards against two hosts that take the same turns while one of them is cut
-// off from its seed.
+// Guards against two hosts that use the same quota units while one of them is
+// cut off from its seed.
 TEST_CASE("a number is reassigned only after its lease has expired") {
   HostNumberAllocator seed = MakeSeed(0);
   HostNumberAllocator host;
-  const HostNumber seat = seed.AssignNumber(HostOf(1), HostNumber(), 0, kStart);
-  host.OnNumberAssigned(HostOf(0), seat);
+  const HostNumber host_number =
+      seed.AssignNumber(HostOf(1), HostNumber(), 0, kStart);
+  host.OnNumberAssigned(HostOf(0), host_number);
   host.OnLinkDown(HostOf(0), kStart);
   for (TimePoint now = kStart; now < kStart + seconds(100); now += seconds(1)) {
     const HostNumber other = seed.AssignNumber(
@@ -74,43 +75,44 @@
 
 TEST_CASE("a restarted seed adopts the numbers of its followers") {
   HostNumberAllocator before = MakeSeed(1);
-  std::map<int, HostNumber> seats;
+  std::map<int, HostNumber> numbers;
   for (int n = 0; n < 20; ++n) {
-    seats[n] = before.AssignNumber(HostOf(n), HostNumber(), 20, kStart);
+    numbers[n] = before.AssignNumber(HostOf(n), HostNumber(), 20, kStart);
   }
   HostNumberAllocator after = MakeSeed(1);
   for (int n = 19; n >= 0; --n) {
-    CHECK(after.AssignNumber(HostOf(n), seats[n], 20, kStart).number ==
-          seats[n].number);
+    CHECK(after.AssignNumber(HostOf(n), numbers[n], 20, kStart).number ==
+          numbers[n].number);
   }
-  const HostNumber other = after.AssignNumber(HostOf(99), seats[3], 20, kStart);
-  CHECK(other.number != seats[3].number);
+  const HostNumber other =
+      after.AssignNumber(HostOf(99), numbers[3], 20, kStart);
+  CHECK(other.number != numbers[3].number);
 }
 
 TEST_CASE("a claimed number out of range is not adopted") {
   HostNumberAllocator seed = MakeSeed(0);
-  const HostNumber seat = seed.AssignNumber(
+  const HostNumber host_number = seed.AssignNumber(
       HostOf(1), {kSeeds * 1'000'000'000, 1}, 1'000'000'000, kStart);
-  CHECK(seat.number == kSeeds);
-  CHECK(seat.seats <= 1 << 14);
+  CHECK(host_number.number == kSeeds);
+  CHECK(host_number.seats <= 1 << 14);
 }
 
-// Returns the largest number of turns at any endpoint that the hosts take in
-// total.
-int MaxTurnsTaken(FeedSimulation& world) {
+// Returns the largest number of quota units of any endpoint that the hosts use
+// in total.
+int MaxUnitsUsed(FeedSimulation& world) {
   constexpr int kEndpoints = 10;
   int most = 0;
   for (int endpoint = 0; endpoint < kEndpoints; ++endpoint) {
-    int taken = 0;
+    int used = 0;
     for (const auto& [name, host] : world.hosts()) {
       HostQuota own;
       if (host.is_up) {
-        own.Draw(EndpointId("e" + std::to_string(endpoint)), kTurns,
-                 host.feed->HostNumber(world.now()));
+        own.Draw(EndpointId("e" + std::to_string(endpoint)), kQuotaUnits,
+                 host.feed->OwnHostNumber(world.now()));
       }
-      taken += own.own();
+      used += own.own();
     }
-    most = std::max(most, taken);
+    most = std::max(most, used);
   }
   return most;
 }
@@ -126,9 +128,9 @@
   }
 }
 
-// Guards against turns that are taken by many hosts while seeds and hosts stop,
-// start and freeze, which would multiply the load on a cold endpoint.
-TEST_CASE("each turn is taken by at most two hosts under any disruption") {
+// Guards against quota units that are used by many hosts while seeds and hosts
+// stop, start and freeze, which would multiply the load on a cold endpoint.
+TEST_CASE("at most two hosts use a quota unit under any disruption") {
   CHECK(rc::check("seats", [] {
     const int count = *rc::gen::inRange(4, 30);
     FeedSimulation world(count, kSeeds);
@@ -137,7 +139,7 @@
       DisruptHost(world, "h" + std::to_string(*rc::gen::inRange(0, count)));
       for (int n = 0; n < 10; ++n) {
         world.Run(milliseconds(30));
-        RC_ASSERT(MaxTurnsTaken(world) <= 2 * kTurns);
+        RC_ASSERT(MaxUnitsUsed(world) <= 2 * kQuotaUnits);
       }
     }
     for (auto& [name, host] : world.hosts()) {
@@ -147,9 +149,9 @@
       world.Freeze(name, false);
     }
     world.Run(seconds(10));
-    RC_ASSERT(MaxTurnsTaken(world) <= kTurns);
+    RC_ASSERT(MaxUnitsUsed(world) <= kQuotaUnits);
     for (const auto& [name, host] : world.hosts()) {
-      RC_ASSERT(host.feed->HostNumber(world.now()).IsKnown());
+      RC_ASSERT(host.feed->OwnHostNumber(world.now()).IsKnown());
     }
   }));
 }
--- a/tests/fleet/test_published_feed.cc
+++ b/tests/fleet/test_published_feed.cc
@@ -6,7 +6,7 @@
 
 #include <string>
 
-#include "feed_world.h"
+#include "feed_simulation.h"
 #include "fleet/peer_codec.h"
 
 namespace damasktack {
@@ -377,10 +377,10 @@
   options.address = {"10.0.0.9", 80};
   options.seeds = {{"10.0.0.1", 80}};
   options.early_read = true;
-  RouteTable book;
-  book.version = 2;
-  book.services = {{ServiceId("s"), "/health", 250},
-                   {ServiceId("t"), "/health", 250}};
+  RouteTable table;
+  table.version = 2;
+  table.services = {{ServiceId("s"), "/health", 250},
+                    {ServiceId("t"), "/health", 250}};
   const auto endpoint = [](const std::string& id, const char* service) {
     PublishedEndpoint it;
     it.spec.id = EndpointId(id);
@@ -391,7 +391,7 @@
     PublishedFeed feed(options, 1);
     const TimePoint now{std::chrono::hours(1)};
     CHECK(feed.NextStep(now).kind == FeedStep::Kind::kReadPart);
-    PublishedItems part{{{20, book}}, 30};
+    PublishedItems part{{{20, table}}, 30};
     for (int n = 0; n < 8; ++n) {
       const bool is_of_s = is_enough ? n % 2 == 0 : n > 0;
       part.items.push_back(
@@ -477,16 +477,16 @@
   CHECK(world.entries_sent() - before <= 10);
 }
 
-// One route of a large book changes. Sending the full book to each host would
+// One route of a large table changes. Sending the full table to each host would
 // take longer than the hosts wait, and all of them would read the store.
-TEST_CASE("a small change of a large book is sent as a change") {
+TEST_CASE("a small change of a large route table is sent as a delta") {
   FeedSimulation world(10, 3);
   for (std::uint64_t version = 2; version < 12; ++version) {
     world.SetVersion(version);
     world.Run(milliseconds(300));
   }
   world.Run(seconds(2));
-  const std::uint64_t before = world.books_sent();
+  const std::uint64_t before = world.tables_sent();
   world.SetVersion(12);
   world.Run(seconds(1));
   for (const auto& [name, host] : world.hosts()) {
@@ -494,14 +494,14 @@
     CHECK(world.VersionOf(host) == 12);
     CHECK(world.HasPublishedRoutes(host));
   }
-  CHECK(world.books_sent() == before);
+  CHECK(world.tables_sent() == before);
 }
 
 // A feeder that was frozen during two versions sends them as one change. Its
 // follower already has the first version from another host: the change does not
-// start from its book, and applying it would restore routes that the first
+// start from its table, and applying it would restore routes that the first
 // version removed.
-TEST_CASE("a change with another base is rejected and the book requested") {
+TEST_CASE("a delta with another base is rejected and the table requested") {
   PublishedFeedOptions options;
   options.self = HostId("h9");
   options.address = {"10.0.0.9", 80};
@@ -509,9 +509,9 @@
   PublishedFeed feed(options, 1);
   const TimePoint now{std::chrono::hours(1)};
   feed.NextStep(now);
-  RouteTable book;
-  book.version = 2;
-  feed.OnReadAll({{{20, book}}, 20}, now);
+  RouteTable table;
+  table.version = 2;
+  feed.OnReadAll({{{20, table}}, 20}, now);
   FeedUpdate update;
   update.after = 20;
   RouteTableDelta change;
@@ -667,8 +667,8 @@
   update.hosts = 17;
   update.age = milliseconds(40);
   update.reader = 99;
-  RouteTable book;
-  book.version = 3;
+  RouteTable table;
+  table.version = 3;
   Route route;
   route.host = "a.example";
   route.prefix = "/x/";
@@ -678,8 +678,8 @@
   route.targets = {{ServiceId("s"), 90}, {ServiceId("t"), 10}};
   route.contract.customer = CustomerId("r");
   route.urgency = Urgency::kBulk;
-  book.routes = {route};
-  book.services = {{ServiceId("s"), "/health", 260}};
+  table.routes = {route};
+  table.services = {{ServiceId("s"), "/health", 260}};
   PublishedEndpoint endpoint;
   endpoint.service = ServiceId("s");
   endpoint.spec.id = EndpointId("e");
@@ -690,10 +690,10 @@
   RouteTableDelta change;
   change.base_version = 3;
   change.version = 4;
-  change.changed = book.routes;
+  change.changed = table.routes;
   change.removed = {{"b.example", "/y/"}};
-  change.services = book.services;
-  update.changes = {{{9, book},
+  change.services = table.services;
+  update.changes = {{{9, table},
                      {10, endpoint},
                      {11, RemovedEndpoint{EndpointId("g")}},
                      {12, change},
@@ -717,7 +717,7 @@
         CHECK(read.changes.items[4] == update.changes.items[4]);
         CHECK(read.changes.items[5] == update.changes.items[5]);
         CHECK(std::get<RouteTableDelta>(read.changes.items[3].value) == change);
-        CHECK(std::get<RouteTable>(read.changes.items[0].value) == book);
+        CHECK(std::get<RouteTable>(read.changes.items[0].value) == table);
         CHECK(std::get<PublishedEndpoint>(read.changes.items[1].value) ==
               endpoint);
         CHECK(std::get<RemovedEndpoint>(read.changes.items[2].value).id ==
--- a/tests/fleet/test_route_messages.cc
+++ b/tests/fleet/test_route_messages.cc
@@ -64,14 +64,14 @@
   return update;
 }
 
-TEST_CASE("books and changes are the same after encoding and decoding") {
+TEST_CASE("route tables and deltas are unchanged after encoding and decoding") {
   CHECK(rc::check([] {
-    RouteTable book;
-    book.version = *rc::gen::inRange<std::uint64_t>(1, 1000);
-    book.routes = AnyRoutes();
-    book.services = {{ServiceId("s"), "/h", 7, milliseconds(1500), 2.5}};
-    book.limits.idle_timeout = milliseconds(*rc::gen::inRange(1, 1000));
-    const PeerMessage whole = UpdateWith(book);
+    RouteTable table;
+    table.version = *rc::gen::inRange<std::uint64_t>(1, 1000);
+    table.routes = AnyRoutes();
+    table.services = {{ServiceId("s"), "/h", 7, milliseconds(1500), 2.5}};
+    table.limits.idle_timeout = milliseconds(*rc::gen::inRange(1, 1000));
+    const PeerMessage whole = UpdateWith(table);
     RC_ASSERT(RoundTrip(whole) == whole);
 
     RouteTableDelta change;
@@ -79,19 +79,19 @@
     change.version = 2;
     change.changed = AnyRoutes();
     change.removed = {{AnyText(), "/x/"}};
-    change.services = book.services;
-    change.limits = book.limits;
+    change.services = table.services;
+    change.limits = table.limits;
     const PeerMessage update = UpdateWith(change);
     RC_ASSERT(RoundTrip(update) == update);
   }));
 }
 
-// Guards against a route book that exceeds the message size: hosts would no
+// Guards against a route table that exceeds the message size: hosts would no
 // longer receive changes from their feeders, and all of them would read the
 // store.
-TEST_CASE("a book of 3,500 routes fits into one message") {
-  RouteTable book;
-  book.version = 1;
+TEST_CASE("a table of 3,500 routes fits into one message") {
+  RouteTable table;
+  table.version = 1;
   for (int n = 0; n < 3500; ++n) {
     Route route;
     route.host = "host-" + std::to_string(n % 50) + ".example";
@@ -99,9 +99,9 @@
     route.contract.customer = CustomerId("route-" + std::to_string(n));
     route.targets = {{ServiceId("one-service"), 90},
                      {ServiceId("another-service"), 10}};
-    book.routes.push_back(std::move(route));
+    table.routes.push_back(std::move(route));
   }
-  const PeerMessage whole = UpdateWith(book);
+  const PeerMessage whole = UpdateWith(table);
   CHECK(EncodePeerMessage(whole).size() < 400'000);
   CHECK(RoundTrip(whole) == whole);
 }
