--- a/fleet/feed_options.h
+++ b/fleet/feed_options.h
@@ -21,8 +21,8 @@
   // than this. Together with the duration of a store call it stays below the
   // two seconds within which a change must take effect. Seeds use a shorter
   // limit so that their followers need not read the store as well.
-  Duration stale = std::chrono::milliseconds(1400);
-  Duration seed_stale = std::chrono::milliseconds(1000);
+  Duration stale_after = std::chrono::milliseconds(1400);
+  Duration seed_stale_after = std::chrono::milliseconds(1000);
   // How long a starting host waits for an update before it reads the store.
   Duration initial_feed_timeout = std::chrono::milliseconds(250);
   // Whether a starting host first reads from any replica of the store: the
@@ -45,7 +45,7 @@
   Duration seed_link_retention = std::chrono::milliseconds(3000);
 
   // Interval between hellos to a seed that this host follows.
-  Duration hello = std::chrono::milliseconds(1500);
+  Duration hello_interval = std::chrono::milliseconds(1500);
 
   // A host number is used only this long after the start, when all hosts have
   // sent three hellos. After a power loss hosts return one after the other, and
@@ -81,7 +81,7 @@
   Duration outage_notice_validity = std::chrono::milliseconds(1200);
   // An endpoint that is removed within this time after a store outage may only
   // have lost its lease.
-  Duration after_outage = std::chrono::milliseconds(2500);
+  Duration post_outage_time = std::chrono::milliseconds(2500);
 };
 
 // The next action for the owner of a feed.
--- a/fleet/feed_peers.cc
+++ b/fleet/feed_peers.cc
@@ -8,7 +8,7 @@
 std::vector<HostId> FeedPeers::Followers() const {
   std::vector<HostId> followers;
   for (const auto& [host, peer] : peers_) {
-    if (Follows(peer)) {
+    if (IsFollower(peer)) {
       followers.push_back(host);
     }
   }
@@ -17,7 +17,7 @@
 
 std::int64_t FeedPeers::CountFollowers() const {
   return std::ranges::count_if(peers_, [&](const auto& it) {
-    return Follows(it.second) && !it.second.IsSeed();
+    return IsFollower(it.second) && !it.second.IsSeed();
   });
 }
 
@@ -32,13 +32,13 @@
 }
 
 std::int64_t FeedPeers::MaxFollowersOfOtherSeeds() const {
-  std::int64_t most = 0;
+  std::int64_t max_followers = 0;
   for (const auto& [host, peer] : peers_) {
     if (peer.IsSeed()) {
-      most = std::max(most, peer.hello->followers);
+      max_followers = std::max(max_followers, peer.hello->followers);
     }
   }
-  return most;
+  return max_followers;
 }
 
 bool FeedPeers::AnyReportsOutage(Duration validity, TimePoint now) const {
--- a/fleet/feed_peers.h
+++ b/fleet/feed_peers.h
@@ -18,10 +18,10 @@
 struct FeedPeer {
   std::optional<FeedHello> hello;
   bool is_hello_sent = false;
-  // The newest revision, and its confirmation time, sent to the peer or
-  // received from it.
-  Revision sent = 0;
-  TimePoint sent_confirmed;
+  // The newest revision that the peer is known to have, because it was sent to
+  // or received from it, and the confirmation time of that data.
+  Revision known_revision = 0;
+  TimePoint known_confirmed_at;
   FeedTransfer transfer;
   // Confirmation time of the last update from the peer, and when its last
   // outage notice arrived.
@@ -46,7 +46,7 @@
   FeedPeer& at(const HostId& host) { return peers_[host]; }
   const std::map<HostId, FeedPeer>& all() const { return peers_; }
 
-  bool Follows(const FeedPeer& peer) const {
+  bool IsFollower(const FeedPeer& peer) const {
     return peer.hello && peer.hello->rank > rank_;
   }
   bool IsFeeder(const FeedPeer& peer) const {
--- a/fleet/published_feed.cc
+++ b/fleet/published_feed.cc
@@ -51,7 +51,7 @@
 }
 
 Duration PublishedFeed::StaleAfter() const {
-  return !IsSeed() ? options_.stale : options_.seed_stale;
+  return !IsSeed() ? options_.stale_after : options_.seed_stale_after;
 }
 
 TimePoint PublishedFeed::FirstReadDue() const {
@@ -199,8 +199,8 @@
   if (IsFed(now)) {
     return feeder_after_outage_;
   }
-  return lost_contact_ || (store_regained_at_ &&
-                           now - *store_regained_at_ < options_.after_outage);
+  return lost_contact_ || (store_regained_at_ && now - *store_regained_at_ <
+                                                     options_.post_outage_time);
 }
 
 // After a power loss all hosts read all endpoints at once and would reject or
@@ -321,9 +321,9 @@
 }
 
 bool PublishedFeed::NeedsUpdate(const FeedPeer& peer) const {
-  const bool is_behind = peer.sent < view_.revision();
-  const bool is_older = peer.sent_confirmed < *confirmed_at_;
-  if (peers_.Follows(peer)) {
+  const bool is_behind = peer.known_revision < view_.revision();
+  const bool is_older = peer.known_confirmed_at < *confirmed_at_;
+  if (peers_.IsFollower(peer)) {
     return is_behind || is_older;
   }
   return peers_.IsFeeder(peer) && peer.outage_at &&
@@ -360,11 +360,11 @@
                             Outbox& out) {
   FeedPeer& peer = peers_.at(host);
   peer.hello = hello;
-  peer.sent = hello.revision;
-  const bool is_behind =
-      peer.sent < view_.revision() || peer.sent_confirmed == TimePoint();
-  if (peers_.Follows(peer) && confirmed_at_ && is_behind) {
-    SendUpdate({host}, peer.sent, now, out);
+  peer.known_revision = hello.revision;
+  const bool is_behind = peer.known_revision < view_.revision() ||
+                         peer.known_confirmed_at == TimePoint();
+  if (peers_.IsFollower(peer) && confirmed_at_ && is_behind) {
+    SendUpdate({host}, peer.known_revision, now, out);
   }
   numbers_.RaiseNumberLimit(hello.host_number.seats);
   if (IsSeed() && !peer.IsSeed()) {
@@ -435,8 +435,8 @@
     fed_by_reader_ = update.reader;
   }
   peer.fed_at = std::max(peer.fed_at.value_or(confirmed), confirmed);
-  peer.sent = std::max(peer.sent, update.changes.current);
-  peer.sent_confirmed = std::max(peer.sent_confirmed, confirmed);
+  peer.known_revision = std::max(peer.known_revision, update.changes.current);
+  peer.known_confirmed_at = std::max(peer.known_confirmed_at, confirmed);
   feeder_after_outage_ = update.after_outage;
 }
 
@@ -461,8 +461,8 @@
                                Outbox& out) {
   for (const HostId& it : to) {
     FeedPeer& peer = peers_.at(it);
-    peer.sent = view_.revision();
-    peer.sent_confirmed = *confirmed_at_;
+    peer.known_revision = view_.revision();
+    peer.known_confirmed_at = *confirmed_at_;
     ++counters_.updates_sent;
   }
   EndpointRange range;
@@ -491,7 +491,7 @@
   std::map<Revision, std::vector<HostId>> behind;
   for (const auto& [host, peer] : peers_.all()) {
     if (NeedsUpdate(peer)) {
-      behind[peer.sent].push_back(host);
+      behind[peer.known_revision].push_back(host);
       has_updated_feeder_ = has_updated_feeder_ || peers_.IsFeeder(peer);
     }
   }
@@ -512,14 +512,15 @@
 }
 
 TimePoint PublishedFeed::FeedMissingSince(TimePoint now) const {
-  return fed_at_ ? *fed_at_ + options_.stale / 2 : started_at_.value_or(now);
+  return fed_at_ ? *fed_at_ + options_.stale_after / 2
+                 : started_at_.value_or(now);
 }
 
 void PublishedFeed::KeepLinksAlive(TimePoint now, Outbox& out) {
   if (is_early_read_pending_ || now < next_hello_) {
     return;
   }
-  next_hello_ = now + options_.hello;
+  next_hello_ = now + options_.hello_interval;
   for (const auto& [host, peer] : peers_.all()) {
     if (peers_.IsFeeder(peer) || (IsSeed() && peer.IsSeed())) {
       out.Send(host, Hello(now));
