--- a/fleet/early_read_filter.cc
+++ b/fleet/early_read_filter.cc
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Endpoints of a service with which its calls can be placed: not all of them
-// are slow or full.
-constexpr std::ptrdiff_t kFewestEndpoints = 4;
+// With this many live endpoints the requests of a service can be placed even if
+// some of them are slow or full.
+constexpr std::ptrdiff_t kMinEndpointsPerService = 4;
 
 std::ptrdiff_t CountLive(const PublishedItems& items,
                          const ServiceId& service) {
@@ -23,25 +23,26 @@
 
 namespace {
 
-bool IsBook(const PublishedItem& item) {
+bool IsRouteTable(const PublishedItem& item) {
   return std::holds_alternative<RouteTable>(item.value);
 }
 
 }  // namespace
 
-bool IsOfOperator(const PublishedItem& item) {
-  return IsBook(item) || std::holds_alternative<ZoneDrain>(item.value);
+bool IsOperatorItem(const PublishedItem& item) {
+  return IsRouteTable(item) || std::holds_alternative<ZoneDrain>(item.value);
 }
 
-bool ServesEachRoute(const PublishedItems& items) {
-  const auto book = std::ranges::find_if(items.items, IsBook);
-  if (book == items.items.end()) {
+bool HasEndpointsForEachService(const PublishedItems& items) {
+  const auto table = std::ranges::find_if(items.items, IsRouteTable);
+  if (table == items.items.end()) {
     return false;
   }
-  return std::ranges::all_of(
-      std::get<RouteTable>(book->value).services, [&](const ServiceTraits& it) {
-        return CountLive(items, it.id) >= kFewestEndpoints;
-      });
+  return std::ranges::all_of(std::get<RouteTable>(table->value).services,
+                             [&](const ServiceTraits& it) {
+                               return CountLive(items, it.id) >=
+                                      kMinEndpointsPerService;
+                             });
 }
 
 }  // namespace damasktack
--- a/fleet/route_messages.cc
+++ b/fleet/route_messages.cc
@@ -12,9 +12,9 @@
 using detail::ReadTime;
 using detail::ToMicroseconds;
 
-constexpr std::int64_t kMostCount = 1'000'000'000'000;
+constexpr std::int64_t kMaxCount = 1'000'000'000'000;
 
-// One target as a list of its service and weight.
+// Encodes a target as a pair of its service and weight.
 Json ToPair(const RouteTarget& target) {
   return Json::array({target.service.text(), target.weight});
 }
@@ -27,7 +27,7 @@
       pair[1].is_number_integer() && pair[1].get<std::int64_t>() >= 0;
   if (!is_pair) {
     return Fail(ErrorKind::kWrongType, path,
-                "something else than a service and a weight",
+                "not a pair of a service and a weight",
                 "check that the sender is a daemon of this system");
   }
   return RouteTarget{ServiceId(pair[0].get<std::string>()),
@@ -107,10 +107,10 @@
   JsonReader reader(json, path);
   reader.Read("id", id);
   reader.Read("health_path", service.health_path);
-  reader.Read("connections", service.connections, 1, kMostCount);
+  reader.Read("connections", service.connections, 1, kMaxCount);
   ReadTime(reader, "cold_us", service.cold_time);
   reader.ReadOptional("cold_rate", service.cold_rate, 0,
-                      static_cast<double>(kMostCount));
+                      static_cast<double>(kMaxCount));
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   service.id = ServiceId(id);
   return service;
@@ -127,8 +127,8 @@
                                        const std::string& path) {
   CallerLimits limits;
   JsonReader reader(json, path);
-  reader.Read("header_bytes", limits.header_bytes, 1, kMostCount);
-  reader.Read("body_bytes", limits.body_bytes, 0, kMostCount);
+  reader.Read("header_bytes", limits.header_bytes, 1, kMaxCount);
+  reader.Read("body_bytes", limits.body_bytes, 0, kMaxCount);
   ReadTime(reader, "header_us", limits.header_timeout);
   ReadTime(reader, "idle_us", limits.idle_timeout);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
@@ -192,27 +192,27 @@
 
 }  // namespace
 
-Json ToJson(const RouteTable& book) {
-  return Json{{"version", book.version},
-              {"routes", RoutesToJson(book.routes)},
-              {"services", ListToJson(book.services)},
-              {"limits", ToJson(book.limits)}};
+Json ToJson(const RouteTable& table) {
+  return Json{{"version", table.version},
+              {"routes", RoutesToJson(table.routes)},
+              {"services", ListToJson(table.services)},
+              {"limits", ToJson(table.limits)}};
 }
 
 leaf::result<RouteTable> ParseRouteTable(const Json& json,
                                          const std::string& path) {
-  RouteTable book;
+  RouteTable table;
   JsonReader reader(json, path);
-  reader.Read("version", book.version);
+  reader.Read("version", table.version);
   const Json* routes = reader.Object("routes");
   const Json* services = reader.Array("services");
   const Json* limits = reader.Object("limits");
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
-  BOOST_LEAF_ASSIGN(book.routes, ParseRoutes(*routes, path));
-  BOOST_LEAF_ASSIGN(book.services,
+  BOOST_LEAF_ASSIGN(table.routes, ParseRoutes(*routes, path));
+  BOOST_LEAF_ASSIGN(table.services,
                     ParseList<ServiceTraits>(*services, path, ParseTraits));
-  BOOST_LEAF_ASSIGN(book.limits, ParseLimits(*limits, path));
-  return book;
+  BOOST_LEAF_ASSIGN(table.limits, ParseLimits(*limits, path));
+  return table;
 }
 
 Json ToJson(const RouteTableDelta& change) {
--- a/fleet/route_messages.h
+++ b/fleet/route_messages.h
@@ -8,10 +8,10 @@
 
 namespace damasktack {
 
-// How books of routes, and steps between them, are written in messages between
-// hosts: routes as a table, since a seed sends a large book to many hosts at
-// once.
-Json ToJson(const RouteTable& book);
+// Encodes route tables, and changes between them, for messages between hosts.
+// Routes are written as a table, because a seed sends a large table to many
+// hosts at once.
+Json ToJson(const RouteTable& table);
 leaf::result<RouteTable> ParseRouteTable(const Json& json,
                                          const std::string& path);
 
--- a/tests/fleet/test_route_messages.cc
+++ b/tests/fleet/test_route_messages.cc
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-// Names are never empty.
+// Names must not be empty.
 std::string AnyText() {
   return *rc::gen::nonEmpty(rc::gen::arbitrary<std::string>());
 }
@@ -46,15 +46,15 @@
   return routes;
 }
 
-std::optional<PeerMessage> Passed(const PeerMessage& message) {
-  std::optional<PeerMessage> got;
+std::optional<PeerMessage> RoundTrip(const PeerMessage& message) {
+  std::optional<PeerMessage> received;
   const auto fault = CaptureError([&]() -> leaf::result<void> {
-    BOOST_LEAF_ASSIGN(got, DecodePeerMessage(EncodePeerMessage(message)));
+    BOOST_LEAF_ASSIGN(received, DecodePeerMessage(EncodePeerMessage(message)));
     return {};
   });
   CAPTURE(fault ? ToString(*fault) : "");
   CHECK(!fault);
-  return got;
+  return received;
 }
 
 PeerMessage UpdateWith(PublishedValue value) {
@@ -64,33 +64,34 @@
   return update;
 }
 
-TEST_CASE("books and steps between them pass from host to host unchanged") {
+TEST_CASE("route tables and deltas are unchanged after encoding and decoding") {
   CHECK(rc::check([] {
-    RouteTable book;
-    book.version = *rc::gen::inRange<std::uint64_t>(1, 1000);
-    book.routes = AnyRoutes();
-    book.services = {{ServiceId("s"), "/h", 7, milliseconds(1500), 2.5}};
-    book.limits.idle_timeout = milliseconds(*rc::gen::inRange(1, 1000));
-    const PeerMessage whole = UpdateWith(book);
-    RC_ASSERT(Passed(whole) == whole);
+    RouteTable table;
+    table.version = *rc::gen::inRange<std::uint64_t>(1, 1000);
+    table.routes = AnyRoutes();
+    table.services = {{ServiceId("s"), "/h", 7, milliseconds(1500), 2.5}};
+    table.limits.idle_timeout = milliseconds(*rc::gen::inRange(1, 1000));
+    const PeerMessage whole = UpdateWith(table);
+    RC_ASSERT(RoundTrip(whole) == whole);
 
     RouteTableDelta change;
     change.base_version = 1;
     change.version = 2;
     change.changed = AnyRoutes();
     change.removed = {{AnyText(), "/x/"}};
-    change.services = book.services;
-    change.limits = book.limits;
-    const PeerMessage step = UpdateWith(change);
-    RC_ASSERT(Passed(step) == step);
+    change.services = table.services;
+    change.limits = table.limits;
+    const PeerMessage update = UpdateWith(change);
+    RC_ASSERT(RoundTrip(update) == update);
   }));
 }
 
-// A book that grows beyond what one message may hold: hosts would learn of no
-// change by their feeders any more, and all of them would ask the store.
-TEST_CASE("a book of 3,500 routes fits into one message") {
-  RouteTable book;
-  book.version = 1;
+// Guards against a route table that exceeds the message size: hosts would no
+// longer receive changes from their feeders, and all of them would read the
+// store.
+TEST_CASE("a table of 3,500 routes fits into one message") {
+  RouteTable table;
+  table.version = 1;
   for (int n = 0; n < 3500; ++n) {
     Route route;
     route.host = "host-" + std::to_string(n % 50) + ".example";
@@ -98,11 +99,11 @@
     route.contract.customer = CustomerId("route-" + std::to_string(n));
     route.targets = {{ServiceId("one-service"), 90},
                      {ServiceId("another-service"), 10}};
-    book.routes.push_back(std::move(route));
+    table.routes.push_back(std::move(route));
   }
-  const PeerMessage whole = UpdateWith(book);
+  const PeerMessage whole = UpdateWith(table);
   CHECK(EncodePeerMessage(whole).size() < 400'000);
-  CHECK(Passed(whole) == whole);
+  CHECK(RoundTrip(whole) == whole);
 }
 
 }  // namespace
