--- a/contract/contract.cc
+++ b/contract/contract.cc
@@ -8,17 +8,17 @@
 
 namespace {
 
-constexpr std::int64_t kLargestShare = 1'000'000;
-constexpr std::int64_t kLargestRate = 10'000'000;
-constexpr std::int64_t kLargestInFlight = 1'000'000;
-constexpr std::int64_t kLargestWaiting = 100'000;
-constexpr Duration kShortestDeadline = std::chrono::milliseconds(1);
-constexpr Duration kLongestDeadline = std::chrono::minutes(10);
+constexpr std::int64_t kMaxShare = 1'000'000;
+constexpr std::int64_t kMaxCallsPerSecond = 10'000'000;
+constexpr std::int64_t kMaxInFlight = 1'000'000;
+constexpr std::int64_t kMaxWaitingPerHost = 100'000;
+constexpr Duration kMinDeadline = std::chrono::milliseconds(1);
+constexpr Duration kMaxDeadline = std::chrono::minutes(10);
 constexpr std::size_t kSha256HexDigits = 64;
 
 const std::vector<std::string_view> kUrgencyNames = {"urgent", "normal",
                                                      "bulk"};
-const std::vector<std::string_view> kTreatmentNames = {"wait", "shed"};
+const std::vector<std::string_view> kOverloadPolicyNames = {"wait", "shed"};
 
 bool IsSha256Hex(std::string_view text) {
   return text.size() == kSha256HexDigits &&
@@ -31,10 +31,10 @@
   CustomerLimits limits;
   JsonReader reader(json, path);
   reader.ReadOptional("calls_per_second", limits.calls_per_second, 0,
-                      kLargestRate);
-  reader.ReadOptional("in_flight", limits.in_flight, 0, kLargestInFlight);
+                      kMaxCallsPerSecond);
+  reader.ReadOptional("in_flight", limits.in_flight, 0, kMaxInFlight);
   reader.ReadOptional("waiting_per_host", limits.waiting_per_host, 0,
-                      kLargestWaiting);
+                      kMaxWaitingPerHost);
   Try([&] { return reader.Finish(); },
       [&](const Error& error) { parent.Adopt(error); });
   return limits;
@@ -52,8 +52,7 @@
   reader.ReadOptional("path_prefix", rule.path_prefix);
   reader.ReadOptional("idempotent", rule.idempotent);
   reader.ReadOptionalChoice("urgency", kUrgencyNames, urgency);
-  reader.ReadOptional("deadline", rule.deadline, kShortestDeadline,
-                      kLongestDeadline);
+  reader.ReadOptional("deadline", rule.deadline, kMinDeadline, kMaxDeadline);
   if (!rule.path_prefix.starts_with('/')) {
     reader.Refuse(ErrorKind::kOutOfRange, "path_prefix", rule.path_prefix,
                   "start the prefix with /");
@@ -91,20 +90,20 @@
   return kUrgencyNames[static_cast<std::size_t>(urgency)];
 }
 
-std::string_view ToString(ShortageTreatment treatment) {
-  return kTreatmentNames[static_cast<std::size_t>(treatment)];
+std::string_view ToString(ShortageTreatment policy) {
+  return kOverloadPolicyNames[static_cast<std::size_t>(policy)];
 }
 
 leaf::result<Contract> ParseContract(const Json& json,
                                      const std::string& path) {
   Contract contract;
   std::string customer;
-  auto treatment = static_cast<std::size_t>(ShortageTreatment::kWait);
+  auto policy = static_cast<std::size_t>(ShortageTreatment::kWait);
   JsonReader reader(json, path);
   reader.Read("customer", customer);
   reader.ReadOptional("key_sha256", contract.key_sha256);
-  reader.ReadOptional("share", contract.share, 1, kLargestShare);
-  reader.ReadOptionalChoice("when_short", kTreatmentNames, treatment);
+  reader.ReadOptional("share", contract.share, 1, kMaxShare);
+  reader.ReadOptionalChoice("when_short", kOverloadPolicyNames, policy);
   reader.ReadOptional("retry_percent", contract.retry_percent, 0, 100);
   if (const Json* limits = reader.OptionalObject("limits")) {
     contract.limits = ReadLimits(*limits, reader.PathOf("limits"), reader);
@@ -118,7 +117,8 @@
   }
   for (const std::string& digest : contract.key_sha256) {
     if (!IsSha256Hex(digest)) {
-      // It may be the key itself, which must not reach a log.
+      // The value may be the key itself, which must not reach a log, so only
+      // its length is reported.
       reader.Refuse(
           ErrorKind::kOutOfRange, "key_sha256",
           "a text of " + std::to_string(digest.size()) + " characters",
@@ -128,7 +128,7 @@
   }
   BOOST_LEAF_CHECK(reader.Finish());
   contract.customer = CustomerId(customer);
-  contract.when_short = static_cast<ShortageTreatment>(treatment);
+  contract.when_short = static_cast<ShortageTreatment>(policy);
   BOOST_LEAF_CHECK(CheckContract(contract, path));
   return contract;
 }
--- a/contract/contract.h
+++ b/contract/contract.h
@@ -13,59 +13,63 @@
 
 namespace damasktack {
 
-// How soon a call must be served; the lower value goes first.
+// Priority of a call; calls with a lower value are served first.
 enum class Urgency : std::uint8_t { kUrgent, kNormal, kBulk };
 inline constexpr std::size_t kUrgencyCount = 3;
 std::string_view ToString(Urgency urgency);
 
-// What happens to a customer's call that finds no free capacity.
+// What happens to a customer's call when no endpoint has free capacity.
 enum class ShortageTreatment : std::uint8_t {
-  // It waits for a slot until its deadline.
+  // The call waits for a slot until its deadline.
   kWait,
-  // It is refused at once as not run.
+  // The call is rejected at once and reported as not run.
   kShed,
 };
-std::string_view ToString(ShortageTreatment treatment);
+std::string_view ToString(ShortageTreatment policy);
 
-// Fleet-wide bounds on one customer's traffic; 0 means "no bound".
+// Limits on one customer's traffic; 0 means "no limit". Except for
+// `waiting_per_host` they apply to all hosts together.
 struct CustomerLimits {
-  // Calls a second, over all hosts.
+  // Calls per second over all hosts.
   std::int64_t calls_per_second = 0;
   // Calls admitted and not yet answered, over all hosts.
   std::int64_t in_flight = 0;
-  // Calls of this customer that may wait on one host.
+  // Maximum number of the customer's calls that are queued on one host.
   std::int64_t waiting_per_host = 256;
 
   bool operator==(const CustomerLimits&) const = default;
 };
 
-// Says how the requests it matches are treated. The first match counts.
+// Sets how the requests that it matches are treated. A contract's first
+// matching rule applies.
 struct RequestRule {
   ServiceId service;
-  // Upper-case methods; empty matches every method.
+  // HTTP methods in upper case; an empty list matches every method.
   std::vector<std::string> methods;
   std::string path_prefix = "/";
-  // May be sent again after an unknown outcome.
+  // Whether a request may be retried when it is unknown whether the first
+  // attempt ran.
   bool idempotent = false;
   Urgency urgency = Urgency::kNormal;
-  // The longest a caller may ask for, and what applies where it asks nothing.
+  // Maximum deadline that a caller may request, and the default where the
+  // caller requests none.
   Duration deadline = std::chrono::seconds(10);
 
   bool operator==(const RequestRule&) const = default;
 };
 
-// One customer's agreement with the operator; every limit on its traffic
-// follows from it. Published as one member of the "contracts" document.
+// One customer's contract, which holds every limit on the customer's traffic.
+// Published as one item of the "contracts" document.
 struct Contract {
   CustomerId customer;
-  // SHA-256 of the customer's keys, as 64 lower-case hex digits. The keys
-  // themselves are never published.
+  // SHA-256 digests of the customer's API keys, each as 64 lower-case hex
+  // digits. The keys themselves are never published.
   std::vector<std::string> key_sha256;
-  // Weight against other customers of the same urgency.
+  // Scheduling weight relative to other customers' calls of the same urgency.
   std::int64_t share = 1;
   ShortageTreatment when_short = ShortageTreatment::kWait;
   CustomerLimits limits;
-  // Repeated sends allowed, as percent of first sends.
+  // Retries allowed, as a percentage of first attempts.
   std::int64_t retry_percent = 10;
   std::vector<RequestRule> requests;
 
@@ -75,7 +79,7 @@
 leaf::result<Contract> ParseContract(const Json& json, const std::string& path);
 Json ToJson(const Contract& contract);
 
-// How one request is to be treated under one contract.
+// How one request is treated under a contract.
 struct RequestClass {
   ServiceId service;
   Urgency urgency = Urgency::kNormal;
@@ -85,8 +89,8 @@
   bool operator==(const RequestClass&) const = default;
 };
 
-// Null where the contract does not cover the request. `path` is the path
-// below the service's own prefix, starting with '/'.
+// Returns the class of a request, or null if the contract does not cover it.
+// `path` is the path below the service's prefix, starting with '/'.
 std::optional<RequestClass> Classify(const Contract& contract,
                                      const ServiceId& service,
                                      std::string_view method,
--- a/contract/contract_check.cc
+++ b/contract/contract_check.cc
@@ -13,24 +13,24 @@
 constexpr std::array<std::string_view, 7> kMethods = {
     "DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"};
 
-constexpr std::size_t kLongestName = 64;
+constexpr std::size_t kMaxNameLength = 64;
 constexpr std::string_view kNameCharacters =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789._-";
 
-// Names stand in metric labels, log lines and paths of the administration
-// API, none of which escapes them.
+// Names appear unescaped in metric labels, log lines and paths of the
+// administration API, so only characters that are safe there are accepted.
 leaf::result<void> CheckName(const std::string& name,
                              const std::string& where) {
-  if (name.size() <= kLongestName &&
+  if (name.size() <= kMaxNameLength &&
       name.find_first_not_of(kNameCharacters) == std::string::npos) {
     return {};
   }
-  return Fail(ErrorKind::kOutOfRange, where, name.substr(0, kLongestName),
+  return Fail(ErrorKind::kOutOfRange, where, name.substr(0, kMaxNameLength),
               "write at most 64 letters, digits, dots, hyphens or "
               "underscores");
 }
 
-std::string At(const std::string& path, std::size_t n) {
+std::string ItemPath(const std::string& path, std::size_t n) {
   return path + "[" + std::to_string(n) + "]";
 }
 
@@ -59,32 +59,34 @@
   return {};
 }
 
-bool Takes(const RequestRule& rule,
-           const RequestRule& later,
-           std::string_view method) {
+bool MatchesFirst(const RequestRule& rule,
+                  const RequestRule& later,
+                  std::string_view method) {
   return rule.service == later.service &&
          later.path_prefix.starts_with(rule.path_prefix) &&
          (rule.methods.empty() ||
           std::ranges::find(rule.methods, method) != rule.methods.end());
 }
 
-// Whether the rules before `index` take every request that it would match.
+// Returns whether the rules before `index` match every request that the rule at
+// `index` would match.
 bool IsCovered(const std::vector<RequestRule>& rules, std::size_t index) {
   const RequestRule& later = rules[index];
-  const auto is_taken = [&](std::string_view method) {
+  const auto is_matched_earlier = [&](std::string_view method) {
     for (std::size_t n = 0; n < index; ++n) {
-      if (Takes(rules[n], later, method)) {
+      if (MatchesFirst(rules[n], later, method)) {
         return true;
       }
     }
     return false;
   };
-  return later.methods.empty() ? std::ranges::all_of(kMethods, is_taken)
-                               : std::ranges::all_of(later.methods, is_taken);
+  return later.methods.empty()
+             ? std::ranges::all_of(kMethods, is_matched_earlier)
+             : std::ranges::all_of(later.methods, is_matched_earlier);
 }
 
-// Finds the second use of a name and where the first one was.
-class Uniqueness {
+// Detects duplicate names and reports where the first occurrence was.
+class UniquenessChecker {
  public:
   leaf::result<void> Add(const std::string& name,
                          const std::string& where,
@@ -112,18 +114,18 @@
 
 leaf::result<void> CheckEndpoints(const ServiceSpec& service,
                                   const std::string& path,
-                                  Uniqueness& addresses) {
-  Uniqueness ids;
+                                  UniquenessChecker& addresses) {
+  UniquenessChecker ids;
   for (std::size_t n = 0; n < service.endpoints.size(); ++n) {
     const EndpointSpec& it = service.endpoints[n];
-    const std::string where = At(path + ".endpoints", n);
+    const std::string where = ItemPath(path + ".endpoints", n);
     BOOST_LEAF_CHECK(CheckName(it.id.text(), where + ".id"));
     BOOST_LEAF_CHECK(CheckName(it.zone.text(), where + ".zone"));
     BOOST_LEAF_CHECK(ids.Add(it.id.text(), where + ".id",
                              "give each endpoint of a service a name of its "
                              "own"));
     BOOST_LEAF_CHECK(CheckPort(it.address, where + ".address"));
-    // One server under two names would be given twice its slots.
+    // A server listed under two names would receive calls for twice its slots.
     BOOST_LEAF_CHECK(addresses.Add(ToString(it.address), where + ".address",
                                    "list each address once, under one "
                                    "service"));
@@ -135,14 +137,14 @@
 
 leaf::result<void> CheckContract(const Contract& contract,
                                  const std::string& path) {
-  Uniqueness keys;
+  UniquenessChecker keys;
   for (std::size_t n = 0; n < contract.key_sha256.size(); ++n) {
     BOOST_LEAF_CHECK(keys.Add(contract.key_sha256[n],
-                              At(path + ".key_sha256", n),
+                              ItemPath(path + ".key_sha256", n),
                               "list each key once"));
   }
   for (std::size_t n = 0; n < contract.requests.size(); ++n) {
-    const std::string where = At(path + ".requests", n);
+    const std::string where = ItemPath(path + ".requests", n);
     BOOST_LEAF_CHECK(CheckMethods(contract.requests[n], where));
     if (IsCovered(contract.requests, n)) {
       return Fail(ErrorKind::kDuplicate, where,
@@ -155,17 +157,17 @@
 }
 
 leaf::result<void> CheckContractList(const std::vector<Contract>& contracts) {
-  Uniqueness names;
-  Uniqueness keys;
+  UniquenessChecker names;
+  UniquenessChecker keys;
   for (std::size_t n = 0; n < contracts.size(); ++n) {
-    const std::string path = At("contracts", n);
+    const std::string path = ItemPath("contracts", n);
     BOOST_LEAF_CHECK(
         CheckName(contracts[n].customer.text(), path + ".customer"));
     BOOST_LEAF_CHECK(names.Add(contracts[n].customer.text(), path + ".customer",
                                "write one contract for each customer"));
     for (std::size_t k = 0; k < contracts[n].key_sha256.size(); ++k) {
       BOOST_LEAF_CHECK(keys.Add(contracts[n].key_sha256[k],
-                                At(path + ".key_sha256", k),
+                                ItemPath(path + ".key_sha256", k),
                                 "give each customer keys of its own: a key "
                                 "says whose contract counts"));
     }
@@ -174,11 +176,11 @@
 }
 
 leaf::result<void> CheckServiceList(const std::vector<ServiceSpec>& services) {
-  Uniqueness names;
-  Uniqueness prefixes;
-  Uniqueness addresses;
+  UniquenessChecker names;
+  UniquenessChecker prefixes;
+  UniquenessChecker addresses;
   for (std::size_t n = 0; n < services.size(); ++n) {
-    const std::string path = At("services", n);
+    const std::string path = ItemPath("services", n);
     BOOST_LEAF_CHECK(CheckName(services[n].id.text(), path + ".id"));
     BOOST_LEAF_CHECK(names.Add(services[n].id.text(), path + ".id",
                                "give each service a name of its own"));
@@ -190,10 +192,10 @@
 }
 
 leaf::result<void> CheckHostList(const std::vector<HostSpec>& hosts) {
-  Uniqueness names;
-  Uniqueness addresses;
+  UniquenessChecker names;
+  UniquenessChecker addresses;
   for (std::size_t n = 0; n < hosts.size(); ++n) {
-    const std::string path = At("hosts", n);
+    const std::string path = ItemPath("hosts", n);
     BOOST_LEAF_CHECK(CheckName(hosts[n].id.text(), path + ".id"));
     BOOST_LEAF_CHECK(CheckName(hosts[n].zone.text(), path + ".zone"));
     BOOST_LEAF_CHECK(names.Add(hosts[n].id.text(), path + ".id",
@@ -218,9 +220,10 @@
     const auto& rules = contracts.contracts[n].requests;
     for (std::size_t k = 0; k < rules.size(); ++k) {
       if (!known.contains(rules[k].service)) {
-        const std::string path = At("contracts", n) + ".requests";
-        return Fail(ErrorKind::kUnknownReference, At(path, k) + ".service",
-                    rules[k].service.text(), remedy);
+        const std::string path = ItemPath("contracts", n) + ".requests";
+        return Fail(ErrorKind::kUnknownReference,
+                    ItemPath(path, k) + ".service", rules[k].service.text(),
+                    remedy);
       }
     }
   }
--- a/contract/contract_check.h
+++ b/contract/contract_check.h
@@ -9,26 +9,29 @@
 
 namespace damasktack {
 
-// Checks that go beyond single members, for documents that are otherwise
-// read. Each returns the first fault with its place and the remedy.
+// Consistency checks across the fields of documents that have been parsed. Each
+// returns the first error with its location and a remedy.
 
-// Within one contract: methods, keys, and rules that can never match because
-// rules above them take all their requests. `path` is the contract's place.
+// Checks one contract: methods, keys, and rules that can never match because
+// earlier rules match all their requests. `path` is the contract's location in
+// the document.
 leaf::result<void> CheckContract(const Contract& contract,
                                  const std::string& path);
 
-// Between contracts: customers' names and keys.
+// Checks that customers' names are valid and that names and keys are unique
+// across contracts.
 leaf::result<void> CheckContractList(const std::vector<Contract>& contracts);
 
-// Between services: names, prefixes and endpoints' addresses.
+// Checks names and that names, prefixes and endpoint addresses are unique
+// across services.
 leaf::result<void> CheckServiceList(const std::vector<ServiceSpec>& services);
 
-// Between hosts: names and addresses.
+// Checks names and that names and addresses are unique across hosts.
 leaf::result<void> CheckHostList(const std::vector<HostSpec>& hosts);
 
-// That every service a contract names is published. A daemon doesn't refuse
-// contracts over this, since the two documents change one after the other;
-// operators check it before publishing.
+// Checks that every service referenced by a contract is published. A daemon
+// does not reject contracts for this, since the two documents are updated one
+// after the other; operators run the check before publishing.
 leaf::result<void> CheckReferences(const ContractBook& contracts,
                                    const ServiceBook& services);
 
--- a/contract/contract_diff.cc
+++ b/contract/contract_diff.cc
@@ -29,18 +29,18 @@
   return sum;
 }
 
-double PartOf(const Contract* contract, std::int64_t sum) {
+double ShareFraction(const Contract* contract, std::int64_t sum) {
   return contract == nullptr
              ? 0.0
              : static_cast<double>(contract->share) / static_cast<double>(sum);
 }
 
-// 0 is how a contract says that there is no bound.
-std::string BoundText(std::int64_t bound) {
+// A limit of 0 means that there is none.
+std::string FormatLimit(std::int64_t bound) {
   return bound == 0 ? "no bound" : std::to_string(bound);
 }
 
-std::string RuleText(const RequestRule& rule) {
+std::string FormatRule(const RequestRule& rule) {
   std::string text = rule.service.text() + rule.path_prefix + " ";
   for (const std::string& it : rule.methods) {
     text += it + (it == rule.methods.back() ? " " : ",");
@@ -51,8 +51,8 @@
   return text + FormatDuration(rule.deadline);
 }
 
-// Collects the members that differ.
-class FieldList {
+// Collects the fields that differ.
+class FieldChangeCollector {
  public:
   void Compare(std::string_view field, std::string before, std::string after) {
     if (before != after) {
@@ -66,11 +66,11 @@
   std::vector<FieldChange> fields_;
 };
 
-// Digests stay out of the result: an operator needs to see that keys come and
-// go, not which.
+// Reports only how many keys were added and removed, without their digests: an
+// operator does not need to know which.
 void CompareKeys(const Contract& before,
                  const Contract& after,
-                 FieldList& fields) {
+                 FieldChangeCollector& fields) {
   const auto missing_in = [](const Contract& from, const Contract& in) {
     return std::ranges::count_if(from.key_sha256, [&](const std::string& key) {
       return std::ranges::find(in.key_sha256, key) == in.key_sha256.end();
@@ -83,7 +83,7 @@
 
 void CompareRules(const Contract& before,
                   const Contract& after,
-                  FieldList& fields) {
+                  FieldChangeCollector& fields) {
   const auto has = [](const Contract& contract, const RequestRule& rule) {
     return std::ranges::find(contract.requests, rule) !=
            contract.requests.end();
@@ -94,17 +94,18 @@
     if (has(after, it)) {
       kept_before.push_back(it);
     } else {
-      fields.Compare("rule", RuleText(it), "");
+      fields.Compare("rule", FormatRule(it), "");
     }
   }
   for (const RequestRule& it : after.requests) {
     if (has(before, it)) {
       kept_after.push_back(it);
     } else {
-      fields.Compare("rule", "", RuleText(it));
+      fields.Compare("rule", "", FormatRule(it));
     }
   }
-  // The first rule that matches counts, so that their order is a change too.
+  // The first matching rule applies, so a different order of the kept rules is
+  // a change too.
   if (kept_before != kept_after) {
     fields.Compare("order of rules", "as it was", "another");
   }
@@ -112,16 +113,16 @@
 
 std::vector<FieldChange> CompareFields(const Contract& before,
                                        const Contract& after) {
-  FieldList fields;
+  FieldChangeCollector fields;
   fields.Compare("share", std::to_string(before.share),
                  std::to_string(after.share));
   fields.Compare("when_short", std::string(ToString(before.when_short)),
                  std::string(ToString(after.when_short)));
   fields.Compare("limits.calls_per_second",
-                 BoundText(before.limits.calls_per_second),
-                 BoundText(after.limits.calls_per_second));
-  fields.Compare("limits.in_flight", BoundText(before.limits.in_flight),
-                 BoundText(after.limits.in_flight));
+                 FormatLimit(before.limits.calls_per_second),
+                 FormatLimit(after.limits.calls_per_second));
+  fields.Compare("limits.in_flight", FormatLimit(before.limits.in_flight),
+                 FormatLimit(after.limits.in_flight));
   fields.Compare("limits.waiting_per_host",
                  std::to_string(before.limits.waiting_per_host),
                  std::to_string(after.limits.waiting_per_host));
@@ -156,8 +157,8 @@
     ContractChange change{.customer = customer,
                           .kind = ContractChangeKind::kChanged,
                           .fields = {},
-                          .share_before = PartOf(old_one, old_sum),
-                          .share_after = PartOf(new_one, new_sum)};
+                          .share_before = ShareFraction(old_one, old_sum),
+                          .share_after = ShareFraction(new_one, new_sum)};
     if (old_one == nullptr) {
       change.kind = ContractChangeKind::kAdded;
     } else if (new_one == nullptr) {
--- a/contract/contract_diff.h
+++ b/contract/contract_diff.h
@@ -10,8 +10,8 @@
 
 namespace damasktack {
 
-// One member of a contract that differs; a rule that was added has no
-// `before`, one that was removed no `after`.
+// One contract field that differs. An added rule has an empty `before`, a
+// removed rule an empty `after`.
 struct FieldChange {
   std::string field;
   std::string before;
@@ -24,23 +24,23 @@
   kAdded,
   kRemoved,
   kChanged,
-  // Its own contract is the same, but other customers' shares are not, and so
-  // it gets another part of a full service.
+  // The customer's contract is unchanged, but the sum of all shares differs, so
+  // the customer's part of the capacity under full load changes.
   kDisplaced,
 };
 std::string_view ToString(ContractChangeKind kind);
 
-// What a change of the contracts does to one customer.
+// Effect of a contract update on one customer.
 struct ContractChange {
   CustomerId customer;
   ContractChangeKind kind = ContractChangeKind::kChanged;
   std::vector<FieldChange> fields;
-  // Its part of the sum of all shares, 0 to 1.
+  // The customer's fraction of the sum of all shares, from 0 to 1.
   double share_before = 0;
   double share_after = 0;
 };
 
-// One entry for each customer that notices, in the order of their names.
+// Returns one entry per affected customer, sorted by customer.
 std::vector<ContractChange> DiffContracts(const std::vector<Contract>& before,
                                           const std::vector<Contract>& after);
 
--- a/contract/document.cc
+++ b/contract/document.cc
@@ -21,7 +21,8 @@
   return ParseJson(document.body, ToString(document.name));
 }
 
-// Parses the list named like the document with `parse_one`.
+// Parses the list whose key is the document's name, calling `parse_one` for
+// each item.
 template <typename Item, typename ParseOne>
 leaf::result<std::vector<Item>> ParseList(const Document& document,
                                           ParseOne parse_one) {
--- a/contract/document.h
+++ b/contract/document.h
@@ -11,15 +11,16 @@
 
 namespace damasktack {
 
-// The three values that the platform publishes for this system.
+// The documents that the platform publishes for this system.
 enum class DocumentName : std::uint8_t { kContracts, kServices, kHosts };
 inline constexpr std::size_t kDocumentCount = 3;
 std::string_view ToString(DocumentName name);
 
-// Numbers that the platform gives each published value; they only go up.
+// Revision number that the platform assigns to each published document;
+// increases monotonically.
 using Revision = std::uint64_t;
 
-// One published value as text, not yet checked. At most kLargestDocument.
+// One published document as unvalidated text of at most kMaxDocumentBytes.
 struct Document {
   DocumentName name = DocumentName::kContracts;
   Revision revision = 0;
@@ -45,8 +46,8 @@
   std::vector<HostSpec> hosts;
 };
 
-// Each checks the whole value; the first fault refuses all of it, so that
-// the last good value stays in force.
+// Parse and validate a whole document. The first error rejects the entire
+// document, so that the last valid one stays in force.
 leaf::result<ContractBook> ParseContracts(const Document& document);
 leaf::result<ServiceBook> ParseServices(const Document& document);
 leaf::result<HostList> ParseHosts(const Document& document);
--- a/contract/protocol_names.h
+++ b/contract/protocol_names.h
@@ -7,79 +7,82 @@
 
 namespace damasktack {
 
-// damasktack's own headers between a caller, a host and an endpoint.
+// Default names of the headers between callers, hosts and endpoints.
 inline constexpr std::string_view kOutcomeHeader = "Damasktack-Outcome";
 inline constexpr std::string_view kCallHeader = "Damasktack-Call";
 // Milliseconds that remain; asked by the caller and passed on.
 inline constexpr std::string_view kDeadlineHeader = "Damasktack-Deadline-Ms";
-// Hops so far; 0 or absent at the first.
+// Number of load balancer hops so far; 0 or absent on the first.
 inline constexpr std::string_view kDepthHeader = "Damasktack-Depth";
-// Sends of this call so far by this hop.
+// Number of attempts that this hop has sent for the call.
 inline constexpr std::string_view kAttemptHeader = "Damasktack-Attempt";
-// On every answer of an endpoint and on the answer to a probe:
+// Load report on every response of an endpoint, including responses to probes:
 //   Endpoint-Load: in_flight=3, queued=0, slots=6, mode=serving
 inline constexpr std::string_view kLoadHeader = "Endpoint-Load";
-// On a call that was refused and did not run:
+// Set on the response to a call that was rejected without being run:
 //   Endpoint-Shed: 1
 inline constexpr std::string_view kShedHeader = "Endpoint-Shed";
-// On every answer of an endpoint that takes only so many requests a second from
-// all hosts together, for as long as it does:
+// Set on every response of an endpoint that currently limits the requests per
+// second from all hosts together:
 //   Endpoint-Limit: 1.5
 inline constexpr std::string_view kRateLimitHeader = "Endpoint-Limit";
 
-// The headers between callers, damasktack and endpoints, and the ways in which
-// deployments differ there. The defaults are damasktack's own protocol. An
-// empty name is a header that the deployment does not have: it is neither
-// looked for nor written.
+// Header names and protocol variants between callers, damasktack and endpoints,
+// which differ between deployments. The defaults are damasktack's own protocol.
+// An empty name means that the deployment does not have the header: it is
+// neither read nor written.
 struct ProtocolNames {
-  // Names one call, in requests and answers.
+  // ID of the call, in requests and responses.
   std::string call{kCallHeader};
   // Milliseconds that remain; asked by the caller and passed on.
   std::string deadline{kDeadlineHeader};
-  // Hops so far, and sends of this call by this hop.
+  // Number of hops so far, and number of attempts sent by this hop.
   std::string depth{kDepthHeader};
   std::string attempt{kAttemptHeader};
-  // What became of the call, in answers to callers.
+  // Outcome of the call, in responses to callers.
   std::string outcome{kOutcomeHeader};
-  // An endpoint's load, on its answers.
+  // Load report of an endpoint, in its responses.
   std::string load{kLoadHeader};
-  // An endpoint's word that it did not run the call.
+  // Set by an endpoint that rejected the call without running it.
   std::string shed{kShedHeader};
-  // Requests a second that an endpoint takes from all hosts together, on its
-  // answers; the first of these that an answer has counts.
+  // Requests per second that an endpoint accepts from all hosts together, in
+  // its responses. The first of these headers that is present applies.
   std::vector<std::string> rate_limit{std::string(kRateLimitHeader)};
-  // Set to 1 on all answers of an endpoint that leaves, also where its load
-  // does not say so; the first of these that an answer has counts.
+  // Set to 1 on all responses of an endpoint that is leaving, even if its load
+  // report does not say so. The first of these headers that is present applies.
   std::vector<std::string> leaving;
-  // The id of the endpoint that a request is meant for; another one that has
-  // taken over its address refuses with 421 and does not run it.
+  // ID of the endpoint that a request is addressed to. If another endpoint has
+  // taken over the address, it rejects the request with 421 without running it.
   std::string expected_endpoint;
-  // The id of the endpoint that answers a probe; empty where none is told.
+  // ID of the endpoint that responds to a probe; empty if the deployment does
+  // not report it.
   std::string answering_endpoint;
-  // How many milliseconds the endpoint that answers a probe stays cold.
+  // Milliseconds for which the endpoint that responds to a probe remains cold.
   std::string cold_for;
-  // An endpoint's proof that an answer is its own; passed on.
+  // Signature that proves that a response comes from the endpoint; passed on to
+  // the caller.
   std::string signature;
-  // What an endpoint says of itself is in headers that begin so.
+  // Prefixes of the headers in which an endpoint reports its own state.
   std::vector<std::string> endpoint_prefixes{"Endpoint-"};
-  // Requests' headers that begin so are damasktack's own and not passed on.
+  // Prefix of damasktack's own request headers, which are not passed on to
+  // endpoints.
   std::string own_prefix = "Damasktack-";
 
-  // Callers name their calls themselves, and endpoints repeat the name.
+  // Callers assign the call IDs and endpoints echo them.
   bool callers_name_calls = false;
-  // An endpoint may answer a call twice; an answer that names another call is
-  // passed over, and the call's own may follow.
+  // An endpoint may send duplicate responses. A response that carries another
+  // call's ID is skipped, since the call's own response may follow.
   bool answers_may_be_doubled = false;
-  // An answer without a length ends with its connection, where that is closed
-  // in order; a reset means that it was cut short.
+  // A response without a length ends when the connection is closed in order; a
+  // reset means that it was truncated.
   bool answers_may_end_with_connection = false;
   // Retry-After may be a fraction of a second.
   bool fractional_retry_after = false;
-  // A caller's connection that stays idle is closed without a word, because a
-  // request that crosses the close is known to callers as not read.
+  // Idle caller connections are closed without a response, because callers know
+  // that a request which crosses the close was not read.
   bool closes_idle_silently = false;
-  // The load header is "running,waiting,slots[,pace]" and not the product's
-  // own list of names and figures.
+  // The load header has the positional form "running,waiting,slots[,pace]"
+  // instead of damasktack's list of names and values.
   bool load_is_list = false;
 };
 
--- a/contract/route.cc
+++ b/contract/route.cc
@@ -8,17 +8,17 @@
 
 namespace {
 
-bool IsService(const RouteBook& book, const ServiceId& id) {
+bool IsService(const RouteBook& table, const ServiceId& id) {
   return std::ranges::any_of(
-      book.services, [&](const ServiceTraits& it) { return it.id == id; });
+      table.services, [&](const ServiceTraits& it) { return it.id == id; });
 }
 
-leaf::result<void> CheckTargets(const RouteBook& book,
+leaf::result<void> CheckTargets(const RouteBook& table,
                                 const Route& route,
                                 const std::string& where) {
   std::int64_t sum = 0;
   for (const RouteTarget& it : route.targets) {
-    if (!IsService(book, it.service)) {
+    if (!IsService(table, it.service)) {
       return Fail(ErrorKind::kUnknownReference, where,
                   "service " + it.service.text(),
                   "publish the service together with the route");
@@ -37,7 +37,7 @@
   return {};
 }
 
-leaf::result<void> CheckRoute(const RouteBook& book, const Route& route) {
+leaf::result<void> CheckRoute(const RouteBook& table, const Route& route) {
   const std::string where = "route " + route.contract.customer.text();
   if (route.host.empty()) {
     return Fail(ErrorKind::kMissingKey, where, "no host",
@@ -56,39 +56,42 @@
                 std::to_string(route.most_sends) + " sends",
                 "allow at least one send");
   }
-  return CheckTargets(book, route, where);
+  return CheckTargets(table, route, where);
 }
 
 }  // namespace
 
-leaf::result<void> CheckRouteBook(const RouteBook& book) {
-  if (book.version == 0) {
-    return Fail(ErrorKind::kMissingKey, "route book", "no version",
+leaf::result<void> CheckRouteBook(const RouteBook& table) {
+  if (table.version == 0) {
+    return Fail(ErrorKind::kMissingKey, "route table", "no version",
                 "publish a version above 0");
   }
-  for (const Route& it : book.routes) {
-    BOOST_LEAF_CHECK(CheckRoute(book, it));
+  for (const Route& it : table.routes) {
+    BOOST_LEAF_CHECK(CheckRoute(table, it));
   }
   return {};
 }
 
-void RankByService(RouteBook& book, const std::vector<std::int64_t>& ranks) {
-  // The ranks that compete at each service. Comparing each route with every
-  // other took half of the time in which a host reads a book of 1,600 routes.
+void RankByService(RouteBook& table, const std::vector<std::int64_t>& ranks) {
+  // Collects the ranks that compete at each service first. Comparing each route
+  // with every other one took half of the time in which a host reads a table of
+  // 1,600 routes.
   std::map<ServiceId, std::set<std::int64_t>> ranks_at;
-  for (std::size_t n = 0; n < book.routes.size(); ++n) {
-    for (const RouteTarget& it : book.routes[n].targets) {
+  for (std::size_t n = 0; n < table.routes.size(); ++n) {
+    for (const RouteTarget& it : table.routes[n].targets) {
       ranks_at[it.service].insert(ranks[n]);
     }
   }
-  for (std::size_t n = 0; n < book.routes.size(); ++n) {
-    std::set<std::int64_t> before;
-    for (const RouteTarget& it : book.routes[n].targets) {
-      const std::set<std::int64_t>& all = ranks_at[it.service];
-      before.insert(all.begin(), all.lower_bound(ranks[n]));
+  for (std::size_t n = 0; n < table.routes.size(); ++n) {
+    std::set<std::int64_t> higher_ranks;
+    for (const RouteTarget& it : table.routes[n].targets) {
+      const std::set<std::int64_t>& service_ranks = ranks_at[it.service];
+      higher_ranks.insert(service_ranks.begin(),
+                          service_ranks.lower_bound(ranks[n]));
     }
-    const std::size_t place = std::min(before.size(), kUrgencyCount - 1);
-    book.routes[n].urgency = static_cast<Urgency>(place);
+    const std::size_t urgency =
+        std::min(higher_ranks.size(), kUrgencyCount - 1);
+    table.routes[n].urgency = static_cast<Urgency>(urgency);
   }
 }
 
--- a/contract/route.h
+++ b/contract/route.h
@@ -14,56 +14,59 @@
 
 namespace damasktack {
 
-// One service that a route sends requests to, with its part of them.
+// One service that a route sends requests to, with its weight.
 struct RouteTarget {
   ServiceId service;
-  // Relative to the other targets of the route; 0 means none.
+  // Weight relative to the route's other targets; 0 means no traffic.
   std::int64_t weight = 1;
 
   bool operator==(const RouteTarget&) const = default;
 };
 
-// Requests for `host` whose path begins with `prefix`, where callers carry no
-// key: the route itself names their contract.
+// Matches requests for `host` whose path starts with `prefix`. Used where
+// callers send no key: the route itself determines the contract.
 struct Route {
   std::string host;
-  // Begins and ends with '/'.
+  // Starts and ends with '/'.
   std::string prefix;
   // Whether a request may run more than once.
   bool idempotent = false;
-  // The longest that a caller is kept waiting.
+  // Maximum time until the caller gets a response.
   Duration timeout = std::chrono::seconds(10);
-  // An answer within this time is on time.
+  // Latency objective: a response within this time counts as on time.
   Duration latency_objective = std::chrono::seconds(1);
-  // Endpoints that one request may be sent to, one after the other.
+  // Maximum number of endpoints that one request is sent to, one after the
+  // other.
   int most_sends = 2;
-  // Where its requests may be worked on; anywhere if there is none.
+  // Regions in which the route's requests may run; an empty list allows every
+  // region.
   std::vector<RegionId> allowed_regions;
-  // At least one; their weights add up to more than 0.
+  // At least one target; the weights must add up to more than 0.
   std::vector<RouteTarget> targets;
-  // Share, urgency and treatment of the route's requests; the customer bears
-  // the route's name.
+  // Share, urgency and overload policy of the route's requests. The customer is
+  // named after the route.
   Contract contract;
   Urgency urgency = Urgency::kNormal;
 
   bool operator==(const Route&) const = default;
 };
 
-// What holds for all endpoints of a service.
+// Properties shared by all endpoints of a service.
 struct ServiceTraits {
   ServiceId id;
   std::string health_path = "/health";
-  // Connections that each endpoint accepts from the whole fleet.
+  // Maximum connections that each endpoint accepts from the whole fleet.
   std::int64_t connections = 250;
-  // How long an endpoint is cold after its start, and the calls a second that
-  // it tolerates from the whole fleet meanwhile; 0 where there is no bound.
+  // Duration of an endpoint's warm-up after its start, and the calls per second
+  // that it tolerates from the whole fleet meanwhile; 0 means no limit.
   Duration cold_time{};
   double cold_rate = 0;
 
   bool operator==(const ServiceTraits&) const = default;
 };
 
-// What a caller may send, and how long it may take or stay idle.
+// Limits on the size of a caller's request, on the time it takes and on idle
+// connections.
 struct CallerLimits {
   std::int64_t header_bytes = 16 << 10;
   std::int64_t body_bytes = 1 << 20;
@@ -73,9 +76,9 @@
   bool operator==(const CallerLimits&) const = default;
 };
 
-// All routes as one version has them.
+// All routes of one published version.
 struct RouteBook {
-  // Goes up with each change, in uneven steps.
+  // Increases with each change, not necessarily by 1.
   std::uint64_t version = 0;
   std::vector<Route> routes;
   std::vector<ServiceTraits> services;
@@ -84,22 +87,23 @@
   bool operator==(const RouteBook&) const = default;
 };
 
-// Refuses a book that could not be followed: a prefix without its slashes, a
-// route without a target, a target that is no service of the book, a timeout
-// that is not above zero.
-leaf::result<void> CheckRouteBook(const RouteBook& book);
+// Validates a route table. Rejects a route without a host or whose prefix does
+// not start and end with '/', a route without a target of positive weight, a
+// target that is not a service of the table, a timeout that is not above 0, and
+// a table without a version.
+leaf::result<void> CheckRouteBook(const RouteBook& table);
 
-// Sets each route's urgency by how its `ranks` entry (lower goes first)
-// compares with those of the routes to the same services: requests compete
-// only within a service.
-void RankByService(RouteBook& book, const std::vector<std::int64_t>& ranks);
+// Sets each route's urgency from its entry in `ranks`, where a lower rank is
+// served first. A rank is compared only with the ranks of routes to the same
+// services, because requests compete only within a service.
+void RankByService(RouteBook& table, const std::vector<std::int64_t>& ranks);
 
-// One endpoint as the platform publishes it.
+// One endpoint as published by the platform.
 struct PublishedEndpoint {
   ServiceId service;
-  // `spec.connections` is left at its default; the service's traits say it.
+  // `spec.connections` keeps its default; the service's traits hold the value.
   EndpointSpec spec;
-  // How much longer it stays slow after its start.
+  // Remaining duration of the warm-up after the endpoint's start.
   Duration cold_for{};
 
   bool operator==(const PublishedEndpoint&) const = default;
--- a/contract/route_book_change.cc
+++ b/contract/route_book_change.cc
@@ -11,9 +11,9 @@
   return {route.host, route.prefix};
 }
 
-std::map<RouteKey, const Route*> ByKey(const RouteBook& book) {
+std::map<RouteKey, const Route*> ByKey(const RouteBook& table) {
   std::map<RouteKey, const Route*> routes;
-  for (const Route& it : book.routes) {
+  for (const Route& it : table.routes) {
     routes.emplace(KeyOf(it), &it);
   }
   return routes;
@@ -21,45 +21,45 @@
 
 }  // namespace
 
-RouteBookChange CompareBooks(const RouteBook& base, const RouteBook& book) {
-  RouteBookChange change;
-  change.base_version = base.version;
-  change.version = book.version;
-  change.services = book.services;
-  change.limits = book.limits;
+RouteBookChange CompareBooks(const RouteBook& base, const RouteBook& table) {
+  RouteBookChange delta;
+  delta.base_version = base.version;
+  delta.version = table.version;
+  delta.services = table.services;
+  delta.limits = table.limits;
   const auto before = ByKey(base);
-  const auto after = ByKey(book);
+  const auto after = ByKey(table);
   for (const auto& [key, route] : after) {
     const auto it = before.find(key);
     if (it == before.end() || *it->second != *route) {
-      change.changed.push_back(*route);
+      delta.changed.push_back(*route);
     }
   }
   for (const auto& [key, route] : before) {
     if (!after.contains(key)) {
-      change.removed.push_back(key);
+      delta.removed.push_back(key);
     }
   }
-  return change;
+  return delta;
 }
 
-RouteBook ApplyChange(const RouteBook& base, const RouteBookChange& change) {
+RouteBook ApplyChange(const RouteBook& base, const RouteBookChange& delta) {
   std::map<RouteKey, const Route*> routes = ByKey(base);
-  for (const Route& it : change.changed) {
+  for (const Route& it : delta.changed) {
     routes[KeyOf(it)] = &it;
   }
-  for (const RouteKey& it : change.removed) {
+  for (const RouteKey& it : delta.removed) {
     routes.erase(it);
   }
-  RouteBook book;
-  book.version = change.version;
-  book.services = change.services;
-  book.limits = change.limits;
-  book.routes.reserve(routes.size());
+  RouteBook table;
+  table.version = delta.version;
+  table.services = delta.services;
+  table.limits = delta.limits;
+  table.routes.reserve(routes.size());
   for (const auto& [key, route] : routes) {
-    book.routes.push_back(*route);
+    table.routes.push_back(*route);
   }
-  return book;
+  return table;
 }
 
 }  // namespace damasktack
--- a/contract/route_book_change.h
+++ b/contract/route_book_change.h
@@ -9,7 +9,7 @@
 
 namespace damasktack {
 
-// What names a route within a book.
+// Identifies a route within a route table.
 struct RouteKey {
   std::string host;
   std::string prefix;
@@ -17,29 +17,30 @@
   auto operator<=>(const RouteKey&) const = default;
 };
 
-// The step from one version of a book to a later one. A book of 1,600 routes
-// is 300 KB and changes by a few routes at a time: sent whole to each host it
-// keeps a link of 10 Mbit/s busy for a quarter of a second.
+// Delta from one version of a route table to a later one. A table of 1,600
+// routes takes 300 KB and changes by a few routes at a time; sending it whole
+// to each host would occupy a 10 Mbit/s link for a quarter of a second.
 struct RouteBookChange {
   std::uint64_t base_version = 0;
   std::uint64_t version = 0;
-  // Routes that are new or differ.
+  // Routes that were added or that differ.
   std::vector<Route> changed;
   std::vector<RouteKey> removed;
-  // Few; always all of them.
+  // All services; they are few and always sent completely.
   std::vector<ServiceTraits> services;
   CallerLimits limits;
 
   bool operator==(const RouteBookChange&) const = default;
 };
 
-// The step between two books. Routes are compared by host and prefix; of two
-// under one name the first counts, as it does for requests.
-RouteBookChange CompareBooks(const RouteBook& base, const RouteBook& book);
+// Returns the delta between two route tables. Routes are identified by host and
+// prefix; of two routes with the same key the first one counts, as it does when
+// requests are matched.
+RouteBookChange CompareBooks(const RouteBook& base, const RouteBook& table);
 
-// The book after the change, routes in the order of their names. The caller
-// has made sure that `base` has the version that the change begins at.
-RouteBook ApplyChange(const RouteBook& base, const RouteBookChange& change);
+// Returns `base` with `delta` applied; its routes are sorted by key. The
+// caller must have checked that the version of `base` is `delta.base_version`.
+RouteBook ApplyChange(const RouteBook& base, const RouteBookChange& delta);
 
 }  // namespace damasktack
 
--- a/contract/service.cc
+++ b/contract/service.cc
@@ -4,9 +4,9 @@
 
 namespace {
 
-constexpr std::int64_t kMostSlots = 100'000;
-constexpr std::int64_t kMostConnections = 1'000'000;
-constexpr double kMostProbes = 1e6;
+constexpr std::int64_t kMaxSlots = 100'000;
+constexpr std::int64_t kMaxConnections = 1'000'000;
+constexpr double kMaxProbesPerSecond = 1e6;
 
 const std::vector<std::string_view> kListedStateNames = {"live", "leaving"};
 
@@ -21,8 +21,8 @@
   reader.Read("id", id);
   reader.Read("address", endpoint.address);
   reader.Read("zone", zone);
-  reader.Read("slots", endpoint.slots, 1, kMostSlots);
-  reader.ReadOptional("connections", endpoint.connections, 1, kMostConnections);
+  reader.Read("slots", endpoint.slots, 1, kMaxSlots);
+  reader.ReadOptional("connections", endpoint.connections, 1, kMaxConnections);
   reader.ReadOptionalChoice("state", kListedStateNames, state);
   Try([&] { return reader.Finish(); },
       [&](const Error& error) { parent.Adopt(error); });
@@ -55,7 +55,7 @@
   reader.Read("id", id);
   reader.Read("prefix", service.prefix);
   reader.ReadOptional("probes_per_second", service.probes_per_second, 0,
-                      kMostProbes);
+                      kMaxProbesPerSecond);
   reader.ReadOptional("echoes_call", service.echoes_call);
   if (const Json* endpoints = reader.Array("endpoints")) {
     for (std::size_t n = 0; n < endpoints->size(); ++n) {
--- a/contract/service.h
+++ b/contract/service.h
@@ -12,59 +12,61 @@
 
 namespace damasktack {
 
-// What the platform's list says of an endpoint or a host. The list lags.
+// State of an endpoint or a host in the platform's list, which lags behind.
 enum class ListedState : std::uint8_t { kLive, kLeaving };
 std::string_view ToString(ListedState state);
 
-// When an endpoint's process started, by its own clock: tells apart processes
-// that bear one id after the other. The default stands for a start that is not
-// published and comes before all others.
+// Start time of an endpoint's process by its own clock. Distinguishes processes
+// that use the same ID one after the other. The default means that the start
+// time is not published; it sorts before all others.
 using EndpointStart = std::chrono::sys_time<std::chrono::milliseconds>;
 
-// One server of a service, as published by the platform.
+// One server of a service as published by the platform.
 struct EndpointSpec {
   EndpointId id;
   SocketAddress address;
   ZoneId zone;
-  // Of its zone; empty where this host's settings do not say.
+  // Region of the zone; empty if the host's settings do not define it.
   RegionId region;
-  // Calls it works on at a time.
+  // Maximum number of calls that it processes concurrently.
   std::int64_t slots = 1;
-  // Connections it accepts from the whole fleet.
+  // Maximum connections that it accepts from the whole fleet.
   std::int64_t connections = 250;
   ListedState state = ListedState::kLive;
   EndpointStart started_at{};
-  // The operator has drained its zone.
+  // Whether the operator has drained the endpoint's zone.
   bool zone_drained = false;
-  // Until when it is said to be cold, by this host's clock.
+  // End of the published warm-up by this host's clock.
   TimePoint cold_until{};
 
-  // Whether new calls may go there by what is published.
+  // Returns whether the published state allows new calls to this endpoint.
   bool MayTakeCalls() const {
     return state == ListedState::kLive && !zone_drained;
   }
 
   bool operator==(const EndpointSpec&) const = default;
-  // Whether both speak of one process, so that what was measured of it holds.
-  // One that has started again, or moved, is empty and cold.
+  // Returns whether both refer to the same process, so that measurements of one
+  // apply to the other. A process that was restarted or moved starts out idle
+  // and cold.
   bool IsSameProcess(const EndpointSpec& other) const {
     return id == other.id && address == other.address &&
            started_at == other.started_at;
   }
 };
 
-// One service: requests whose path starts with `prefix` go to its endpoints.
+// One service: requests whose path starts with `prefix` are sent to its
+// endpoints.
 struct ServiceSpec {
   ServiceId id;
   std::string prefix;
-  // Load probes a second that all hosts together may send to this service.
+  // Load probes per second that all hosts together may send to this service.
   double probes_per_second = 0;
-  // Set where endpoints repeat the header Damasktack-Call in their answers;
-  // an answer that names another call, or none, is then refused.
+  // Whether endpoints echo the header Damasktack-Call in their responses. A
+  // response with another call's ID, or with none, is then rejected.
   bool echoes_call = false;
-  // What a probe asks for.
+  // Path that probes request.
   std::string health_path = "/load";
-  // As ServiceTraits has them.
+  // See ServiceTraits.
   Duration cold_time{};
   double cold_rate = 0;
   std::vector<EndpointSpec> endpoints;
@@ -76,10 +78,10 @@
                                        const std::string& path);
 Json ToJson(const ServiceSpec& service);
 
-// One entry host of the fleet, as published by the platform.
+// One load balancer host of the fleet as published by the platform.
 struct HostSpec {
   HostId id;
-  // Where its peers reach it.
+  // Address at which peers connect to the host.
   SocketAddress peer_address;
   ZoneId zone;
   ListedState state = ListedState::kLive;
--- a/core/bound_chart.h
+++ b/core/bound_chart.h
@@ -16,20 +16,21 @@
 
 namespace damasktack {
 
-// Specialised beside an enum that stands for a chart's states or events:
+// Maps the enumerators of an enum to the names of a chart's states or events.
+// Specialized next to the enum, in the order of the enumerators, which count
+// from 0:
 //   template <>
 //   struct ChartNames<HostState> {
-//     static constexpr std::array<std::string_view, 5> kNames = {"starting",
-//     ...};
+//     static constexpr std::array<std::string_view, 5> kNames = {
+//         "starting", ...};
 //   };
-// in the order of the enumerators, which count from 0.
 template <typename Enum>
 struct ChartNames;
 
 namespace detail {
 
-// Each name of the enum must be in the chart and the other way round, so that
-// neither a renamed state nor a forgotten one goes unseen.
+// Checks that enum and chart define the same names, so that neither a renamed
+// state nor a missing one goes unnoticed.
 leaf::result<void> CheckSameNames(std::span<const std::string_view> in_code,
                                   std::span<const std::string> in_chart,
                                   std::string_view what,
@@ -37,35 +38,38 @@
 
 }  // namespace detail
 
-// A chart bound to the enums that code uses: a table by state and event, so
-// that following a transition costs one load.
+// A state chart bound to C++ enums. Transitions are stored in a table indexed
+// by state and event, so that a lookup costs one load.
 template <typename State, typename Event>
 class BoundChart {
  public:
   static constexpr std::size_t kStates = ChartNames<State>::kNames.size();
   static constexpr std::size_t kEvents = ChartNames<Event>::kNames.size();
 
-  // Refuses with kUnsoundChart where chart and enums name different things.
+  // Binds the chart. Fails with kInvalidChart if chart and enums define
+  // different names.
   static leaf::result<BoundChart> Bind(const StateChart& chart);
 
-  // For a chart that the binary carries: ends the process with the error on
-  // stderr where it is unsound, since no host could work without it.
+  // For charts that are embedded in the binary: prints the error to stderr and
+  // ends the process if the chart is invalid, since no host could work without
+  // it.
   static BoundChart BindOrExit(std::string_view text, std::string_view where);
 
   State initial() const { return initial_; }
   bool IsFinal(State state) const { return final_[Index(state)]; }
 
-  // Null where the event means nothing in the state.
+  // Returns the target state, or null if the state has no transition for the
+  // event.
   std::optional<State> Next(State state, Event event) const {
     const std::int8_t next = next_[Index(state)][Index(event)];
-    if (next == kNothing) {
+    if (next == kNoTransition) {
       return std::nullopt;
     }
     return static_cast<State>(next);
   }
 
  private:
-  static constexpr std::int8_t kNothing = -1;
+  static constexpr std::int8_t kNoTransition = -1;
   static_assert(kStates < 128, "the table holds states in 8 bits");
 
   template <typename Enum>
@@ -85,7 +89,7 @@
   State initial_{};
 };
 
-// The name of a state or event as its chart has it.
+// Returns the name of a state or event in its chart.
 template <typename Enum>
 std::string_view ChartName(Enum value) {
   return ChartNames<Enum>::kNames[static_cast<std::size_t>(value)];
@@ -100,7 +104,7 @@
       ChartNames<Event>::kNames, chart.events(), "event", chart.name()));
   BoundChart bound;
   for (auto& row : bound.next_) {
-    row.fill(kNothing);
+    row.fill(kNoTransition);
   }
   for (std::size_t n = 0; n < chart.states().size(); ++n) {
     bound.final_[IndexOf<State>(chart.states()[n])] = chart.IsFinal(n);
--- a/core/chart_texts.cc
+++ b/core/chart_texts.cc
@@ -6,20 +6,20 @@
 
 std::string_view HostChartText() {
   return R"chart({
-  // One entry host, from the start of its process to its end.
+  // Life cycle of one load balancer host's process.
   "name": "host",
   "initial": "starting",
   "final": ["stopped"],
   "states": ["starting", "ready", "draining", "stopping", "stopped"],
   "events": ["documents-in-force", "terminate", "lag-over", "calls-finished"],
   "transitions": [
-    // Not ready before contracts, services and hosts are in force.
+    // Not ready until contracts, services and hosts are loaded.
     {"from": "starting", "event": "documents-in-force", "to": "ready"},
     {"from": "starting", "event": "terminate", "to": "stopping"},
-    // Still serves: the platform's balancer learns of the stop late.
+    // Still serves, since the platform's balancer notices the stop late.
     {"from": "ready", "event": "terminate", "to": "draining"},
     {"from": "draining", "event": "lag-over", "to": "stopping"},
-    // Accepts nothing new and finishes every call in flight.
+    // Accepts no new calls and finishes those in flight.
     {"from": "stopping", "event": "calls-finished", "to": "stopped"}
   ]
 }
--- a/core/column_table.cc
+++ b/core/column_table.cc
@@ -15,8 +15,8 @@
     const Json& row = (*table.rows_)[n];
     if (!row.is_array() || row.size() != table.columns_.size()) {
       return Fail(ErrorKind::kWrongType, where + " row " + std::to_string(n),
-                  "something else than one value for each column",
-                  "check what writes the table");
+                  "a row without exactly one value per column",
+                  "check the program that writes the table");
     }
   }
   return table;
--- a/core/column_table.h
+++ b/core/column_table.h
@@ -8,21 +8,23 @@
 
 namespace damasktack {
 
-// A list of objects of one kind, written as a table: the names of the columns
-// once, and a list of values for each row. A large list is a third of its size
-// and is read in half the time. A reader goes by the names, so that a newer
-// writer may add columns.
+// A list of objects of one kind, encoded as JSON with the column names once and
+// one list of values per row. Compared with a list of JSON objects, a large
+// table takes a third of the size and half of the parsing time. Columns are
+// looked up by name, so that a newer writer may add some.
 class ColumnTable {
  public:
-  // `json` holds the members `columns` and `rows` and must outlive the table.
-  // Refuses another shape, and a row that is not as long as the columns.
+  // Opens the table in `json`, which holds the members `columns` and `rows` and
+  // must outlive the table. Fails if the structure differs or a row does not
+  // have one value per column.
   static leaf::result<ColumnTable> Open(const Json& json,
                                         const std::string& where);
-  // The reverse; `rows` is a list of lists.
+  // Encodes a table; `rows` is a list of lists.
   static Json Make(std::vector<std::string> columns, Json rows);
 
   std::size_t size() const { return rows_ == nullptr ? 0 : rows_->size(); }
-  // One row as an object by column; columns without a value are left out.
+  // Returns one row as an object keyed by column; columns without a value are
+  // left out.
   Json Row(std::size_t row) const;
 
  private:
--- a/core/error.h
+++ b/core/error.h
@@ -12,8 +12,8 @@
 
 namespace leaf = boost::leaf;
 
-// What went wrong, as a kind that code can branch on and an operator can
-// search the documentation for.
+// Kinds of errors. Code branches on them and operators search the documentation
+// for them.
 enum class ErrorKind {
   kInvalidJson,
   kUnknownKey,
@@ -38,25 +38,24 @@
 
 std::string_view ToString(ErrorKind kind);
 
-// The one error type that crosses package boundaries, carried by
-// boost::leaf::result.
+// The error type of all public interfaces, carried by boost::leaf::result.
 struct Error {
   ErrorKind kind = ErrorKind::kInvalidJson;
-  // Where: a settings key ("proxy.listen"), a file, an address.
+  // Location: a settings key ("proxy.listen"), a file, an address.
   std::string where;
-  // What was found there.
+  // What was found at the location.
   std::string found;
-  // What to do about it, as an instruction.
+  // Remedy, worded as an instruction.
   std::string remedy;
 
   bool operator==(const Error&) const = default;
 };
 
-// "kind at where: found; remedy", one line.
+// Returns "kind at where: found; remedy" on one line.
 std::string ToString(const Error& error);
 std::ostream& operator<<(std::ostream& out, const Error& error);
 
-// Shorthand for the guard clauses: `return Fail(kind, where, found, remedy);`
+// Creates an error to return: `return Fail(kind, where, found, remedy);`
 inline leaf::error_id Fail(ErrorKind kind,
                            std::string where,
                            std::string found,
@@ -65,8 +64,8 @@
       Error{kind, std::move(where), std::move(found), std::move(remedy)});
 }
 
-// Runs `body`, a callable that returns leaf::result<T>, and hands an error to
-// `on_error(const Error&)`, which returns T too.
+// Runs `body`, a callable that returns leaf::result<T>, and returns its value.
+// On failure returns the result of `on_error(const Error&)`, which is a T too.
 template <typename Body, typename OnError>
 auto Try(Body&& body, OnError&& on_error) {
   return leaf::try_handle_all(
@@ -79,9 +78,9 @@
       });
 }
 
-// The error of `body`, a callable that returns leaf::result<T>; null where it
-// succeeds. For code that passes on an error in another form: a handler of
-// LEAF that itself fails would have its new error replaced by the old one.
+// Returns the error of `body`, a callable that returns leaf::result<T>, or null
+// if it succeeds. For code that converts an error to another form: if a LEAF
+// handler itself fails, LEAF replaces the new error by the old one.
 template <typename Body>
 std::optional<Error> FaultOf(Body&& body) {
   return Try(
--- a/core/host_state.h
+++ b/core/host_state.h
@@ -9,14 +9,16 @@
 
 namespace damasktack {
 
-// States of one entry host; core/charts/host.json says what leads where.
+// States of one load balancer host. The transitions are defined in
+// core/charts/host.json.
 enum class HostState : std::uint8_t {
-  // Contracts, services or hosts are not yet in force.
+  // Contracts, services or hosts have not been loaded yet.
   kStarting,
   kReady,
-  // Not ready any more and still serving, until the platform has seen it.
+  // Reports "not ready" but still serves, until the platform's balancer has
+  // noticed.
   kDraining,
-  // Accepts nothing new and finishes what is in flight.
+  // Accepts no new calls and finishes those in flight.
   kStopping,
   kStopped,
 };
@@ -42,7 +44,7 @@
 
 using HostChart = BoundChart<HostState, HostEvent>;
 
-// The chart that the binary carries, bound at the first call.
+// Returns the chart embedded in the binary; bound on first use.
 const HostChart& GetHostChart();
 
 }  // namespace damasktack
--- a/core/ids.h
+++ b/core/ids.h
@@ -10,7 +10,7 @@
 
 namespace damasktack {
 
-// A name that cannot be mixed up with a name of another sort.
+// A string ID whose type prevents mixing it up with IDs of other kinds.
 template <typename Tag>
 class StrongId {
  public:
@@ -38,8 +38,8 @@
 using RegionId = StrongId<struct RegionTag>;
 using CallId = StrongId<struct CallTag>;
 
-// Tells two processes under the same host id apart. Drawn at random by a
-// daemon when it starts; 0 means "not known".
+// Distinguishes successive processes with the same host ID. Drawn at random
+// when a daemon starts; 0 means "unknown".
 using Incarnation = std::uint64_t;
 
 }  // namespace damasktack
--- a/core/json_reader.cc
+++ b/core/json_reader.cc
@@ -15,7 +15,8 @@
   Duration length;
 };
 
-// Longest suffix first, so that "ms" is not read as "s".
+// Longer suffixes that end in "s" come first, so that "ms" is not parsed as
+// "s".
 constexpr std::array kUnits = {
     Unit{"min", std::chrono::minutes(1)},
     Unit{"us", std::chrono::microseconds(1)},
@@ -27,14 +28,14 @@
 constexpr std::string_view kDurationRemedy =
     "write a whole number with its unit: us, ms, s, min or h, as in \"250ms\"";
 constexpr std::string_view kAddressRemedy =
-    "write an IP number and a port, as in \"127.0.0.1:8080\" or "
-    "\"[::1]:8080\"; host names are not looked up";
+    "write an IP address and a port, as in \"127.0.0.1:8080\" or "
+    "\"[::1]:8080\"; host names are not resolved";
 
-std::string Shown(const Json& json) {
-  constexpr std::size_t kLongestShown = 60;
+std::string FormatForError(const Json& json) {
+  constexpr std::size_t kMaxLength = 60;
   std::string text = json.dump(-1, ' ', false, Json::error_handler_t::replace);
-  if (text.size() > kLongestShown) {
-    text.resize(kLongestShown);
+  if (text.size() > kMaxLength) {
+    text.resize(kMaxLength);
     text += "...";
   }
   return text;
@@ -49,14 +50,14 @@
 }  // namespace
 
 leaf::result<Json> ParseJson(std::string_view text, std::string_view where) {
-  std::string problem;
+  std::string message;
   try {
     return Json::parse(text, nullptr, true, true);
   } catch (const Json::parse_error& parse_error) {
-    problem = parse_error.what();
+    message = parse_error.what();
   }
-  return Fail(ErrorKind::kInvalidJson, std::string(where), problem,
-              "correct the JSON at the place named; comments are allowed, "
+  return Fail(ErrorKind::kInvalidJson, std::string(where), message,
+              "correct the JSON at the given position; comments are allowed, "
               "trailing commas are not");
 }
 
@@ -73,10 +74,10 @@
   std::int64_t count = 0;
   const auto parsed =
       std::from_chars(digits.data(), digits.data() + digits.size(), count);
-  const bool whole = parsed.ec == std::errc() &&
-                     parsed.ptr == digits.data() + digits.size() &&
-                     !digits.empty();
-  if (!whole || count < 0 || count > Duration::max() / unit->length) {
+  const bool is_valid = parsed.ec == std::errc() &&
+                        parsed.ptr == digits.data() + digits.size() &&
+                        !digits.empty();
+  if (!is_valid || count < 0 || count > Duration::max() / unit->length) {
     return Fail(ErrorKind::kWrongUnit, std::string(where), std::string(text),
                 std::string(kDurationRemedy));
   }
@@ -121,8 +122,8 @@
 }
 
 std::string ToString(const SocketAddress& address) {
-  const bool six = address.ip.find(':') != std::string::npos;
-  const std::string ip = six ? "[" + address.ip + "]" : address.ip;
+  const bool is_ipv6 = address.ip.find(':') != std::string::npos;
+  const std::string ip = is_ipv6 ? "[" + address.ip + "]" : address.ip;
   return ip + ":" + std::to_string(address.port);
 }
 
@@ -130,7 +131,7 @@
     : json_(json), path_(std::move(path)) {
   if (!json_.is_object()) {
     failed_ = true;
-    error_ = Error{ErrorKind::kWrongType, path_, Shown(json_),
+    error_ = Error{ErrorKind::kWrongType, path_, FormatForError(json_),
                    "write an object in braces"};
   }
 }
@@ -163,7 +164,7 @@
 }
 
 const Json* JsonReader::Find(std::string_view key, bool required) {
-  asked_.emplace_back(key);
+  read_keys_.emplace_back(key);
   if (failed_) {
     return nullptr;
   }
@@ -186,7 +187,7 @@
   if (value == nullptr || value->type() == type) {
     return value;
   }
-  Refuse(ErrorKind::kWrongType, key, Shown(*value),
+  Refuse(ErrorKind::kWrongType, key, FormatForError(*value),
          "write " + std::string(expected));
   return nullptr;
 }
@@ -222,7 +223,7 @@
     return;
   }
   if (!value->is_string()) {
-    Refuse(ErrorKind::kWrongUnit, key, Shown(*value),
+    Refuse(ErrorKind::kWrongUnit, key, FormatForError(*value),
            std::string(kDurationRemedy));
     return;
   }
@@ -238,7 +239,7 @@
     return;
   }
   if (parsed < low || parsed > high) {
-    Refuse(ErrorKind::kOutOfRange, key, Shown(*value),
+    Refuse(ErrorKind::kOutOfRange, key, FormatForError(*value),
            "write a time from " + FormatDuration(low) + " to " +
                FormatDuration(high));
     return;
@@ -270,13 +271,14 @@
     return;
   }
   if (!value->is_number_integer()) {
-    Refuse(ErrorKind::kWrongType, key, Shown(*value),
+    Refuse(ErrorKind::kWrongType, key, FormatForError(*value),
            "write a whole number without quotes");
     return;
   }
   const auto number = value->get<std::int64_t>();
   if (number < low || number > high) {
-    Refuse(ErrorKind::kOutOfRange, key, Shown(*value), RangeRemedy(low, high));
+    Refuse(ErrorKind::kOutOfRange, key, FormatForError(*value),
+           RangeRemedy(low, high));
     return;
   }
   out = number;
@@ -307,7 +309,7 @@
                         !value->is_number_unsigned() &&
                         value->get<std::int64_t>() < 0;
   if (!value->is_number_integer() || negative) {
-    Refuse(ErrorKind::kWrongType, key, Shown(*value),
+    Refuse(ErrorKind::kWrongType, key, FormatForError(*value),
            "write a whole number from 0 without quotes");
     return;
   }
@@ -332,13 +334,14 @@
     return;
   }
   if (!value->is_number()) {
-    Refuse(ErrorKind::kWrongType, key, Shown(*value),
+    Refuse(ErrorKind::kWrongType, key, FormatForError(*value),
            "write a number without quotes");
     return;
   }
   const auto number = value->get<double>();
   if (!(number >= low && number <= high)) {
-    Refuse(ErrorKind::kOutOfRange, key, Shown(*value), RangeRemedy(low, high));
+    Refuse(ErrorKind::kOutOfRange, key, FormatForError(*value),
+           RangeRemedy(low, high));
     return;
   }
   out = number;
@@ -402,7 +405,8 @@
   std::vector<std::string> texts;
   for (const Json& it : *value) {
     if (!it.is_string()) {
-      Refuse(ErrorKind::kWrongType, key, Shown(it), "write a list of texts");
+      Refuse(ErrorKind::kWrongType, key, FormatForError(it),
+             "write a list of texts");
       return;
     }
     texts.push_back(it.get<std::string>());
@@ -425,7 +429,7 @@
     for (const std::string_view name : names) {
       remedy += " " + std::string(name);
     }
-    Refuse(ErrorKind::kOutOfRange, key, Shown(*value), remedy);
+    Refuse(ErrorKind::kOutOfRange, key, FormatForError(*value), remedy);
     return;
   }
   out = static_cast<std::size_t>(it - names.begin());
@@ -468,14 +472,15 @@
     return;
   }
   for (const auto& it : json_.items()) {
-    if (std::ranges::find(asked_, it.key()) != asked_.end()) {
+    if (std::ranges::find(read_keys_, it.key()) != read_keys_.end()) {
       continue;
     }
     std::string remedy = "remove it or use one of:";
-    for (const std::string& name : asked_) {
+    for (const std::string& name : read_keys_) {
       remedy += " " + name;
     }
-    Refuse(ErrorKind::kUnknownKey, it.key(), Shown(it.value()), remedy);
+    Refuse(ErrorKind::kUnknownKey, it.key(), FormatForError(it.value()),
+           remedy);
     return;
   }
 }
--- a/core/json_reader.h
+++ b/core/json_reader.h
@@ -14,16 +14,17 @@
 
 using Json = nlohmann::json;
 
-// Parses JSON that may hold comments. `where` names the source in errors.
+// Parses JSON that may contain comments. `where` names the source in errors.
 leaf::result<Json> ParseJson(std::string_view text, std::string_view where);
 
-// Parses "250us", "5ms", "3s", "2min" or "1h". A bare number is refused:
-// a time without its unit is how seconds become milliseconds.
+// Parses "250us", "5ms", "3s", "2min" or "1h". A number without a unit is
+// rejected, because seconds and milliseconds would be confused.
 leaf::result<Duration> ParseDuration(std::string_view text,
                                      std::string_view where);
 std::string FormatDuration(Duration duration);
 
-// "10.0.0.1:8080" or "[::1]:8080"; host names are refused.
+// IP address and port, written as "10.0.0.1:8080" or "[::1]:8080". Host names
+// are rejected.
 struct SocketAddress {
   std::string ip;
   std::uint16_t port = 0;
@@ -35,15 +36,15 @@
                                                std::string_view where);
 std::string ToString(const SocketAddress& address);
 
-// Reads one JSON object member by member and collects the first error, so
-// that a parser lists its members in a row and asks for the verdict once:
+// Reads the members of one JSON object and keeps the first error, so that a
+// parser reads all members in sequence and checks for errors once:
 //
 //   JsonReader reader(json, "proxy");
 //   reader.Read("listen", options.listen);
 //   reader.ReadOptional("threads", options.threads, 1, 64);
-//   return reader.Finish(options);
+//   return reader.Finish();
 //
-// Finish refuses members that nobody asked for.
+// Finish fails if the object has members that were not read.
 class JsonReader {
  public:
   JsonReader(const Json& json, std::string path);
@@ -65,7 +66,8 @@
                     std::int64_t high);
   void Read(std::string_view key, double& out, double low, double high);
   void ReadOptional(std::string_view key, double& out, double low, double high);
-  // Any whole number from 0 to 2^64 - 1; revisions and incarnations.
+  // Reads a whole number from 0 to 2^64 - 1, as used for revisions and
+  // incarnations.
   void Read(std::string_view key, std::uint64_t& out);
   void ReadOptional(std::string_view key, std::uint64_t& out);
   void ReadOptional(std::string_view key, bool& out);
@@ -73,7 +75,7 @@
   void ReadOptional(std::string_view key, SocketAddress& out);
   void ReadOptional(std::string_view key, std::vector<std::string>& out);
 
-  // One of `names`; `out` gets the index.
+  // Reads one of `names`; `out` is set to its index.
   void ReadChoice(std::string_view key,
                   const std::vector<std::string_view>& names,
                   std::size_t& out);
@@ -81,8 +83,8 @@
                           const std::vector<std::string_view>& names,
                           std::size_t& out);
 
-  // The member itself, or null where it is missing. Missing is an error only
-  // for the first.
+  // Return the member itself, or null if it is missing or has another type. A
+  // missing member is an error only for Object and Array.
   const Json* OptionalValue(std::string_view key);
   const Json* Object(std::string_view key);
   const Json* OptionalObject(std::string_view key);
@@ -96,12 +98,13 @@
               std::string found,
               std::string remedy);
 
-  // Takes over the error of a reader for a nested object.
+  // Records the error of a reader for a nested object, unless there is an
+  // earlier one.
   void Adopt(const Error& error);
 
   bool failed() const { return failed_; }
   leaf::result<void> Finish();
-  // For messages between daemons, where a newer sender may say more.
+  // For messages between daemons, where a newer sender may add members.
   leaf::result<void> FinishIgnoringUnknown();
 
  private:
@@ -135,7 +138,7 @@
 
   const Json& json_;
   std::string path_;
-  std::vector<std::string> asked_;
+  std::vector<std::string> read_keys_;
   Error error_;
   bool failed_ = false;
 };
--- a/core/random.h
+++ b/core/random.h
@@ -6,10 +6,12 @@
 
 namespace damasktack {
 
-// The random source that callers pass into decisions; tests seed it.
+// Random number generator that callers pass to randomized decisions; tests seed
+// it.
 using Random = std::mt19937_64;
 
-// A number in [0, bound) without division. `bound` must be above 0.
+// Returns a uniformly distributed number in [0, bound) without a division.
+// `bound` must be above 0.
 inline std::uint32_t UniformBelow(Random& random, std::uint32_t bound) {
   const std::uint64_t low_half = random() & 0xffffffffU;
   return static_cast<std::uint32_t>((low_half * bound) >> 32);
--- a/core/request_fingerprint.h
+++ b/core/request_fingerprint.h
@@ -8,15 +8,15 @@
 
 namespace damasktack {
 
-// Identifies what a caller asks for: the same for each attempt at any host, and
-// as a rule another one for any other request.
+// Hash that identifies a request's content: equal for all attempts on all
+// hosts, and almost always different for other requests.
 struct RequestFingerprint {
   std::uint64_t value = 0;
 
   auto operator<=>(const RequestFingerprint&) const = default;
 };
 
-// Sixteen hexadecimal digits.
+// Returns the fingerprint as 16 hexadecimal digits.
 std::string ToString(RequestFingerprint fingerprint);
 
 }  // namespace damasktack
--- a/core/state_chart.cc
+++ b/core/state_chart.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// A chart as written, before its names are looked up.
+// A transition as written in the file, before its names are resolved.
 struct NamedTransition {
   std::string from;
   std::string event;
@@ -25,14 +25,14 @@
   std::vector<NamedTransition> transitions;
 };
 
-leaf::error_id Unsound(std::string_view where,
-                       std::string found,
-                       std::string remedy) {
+leaf::error_id InvalidChart(std::string_view where,
+                            std::string found,
+                            std::string remedy) {
   return Fail(ErrorKind::kUnsoundChart, std::string(where), std::move(found),
               std::move(remedy));
 }
 
-std::string Shown(const NamedTransition& transition) {
+std::string Describe(const NamedTransition& transition) {
   return "transition from \"" + transition.from + "\" on \"" +
          transition.event + "\" to \"" + transition.to + "\"";
 }
@@ -44,7 +44,8 @@
   JsonReader reader(json, path);
   reader.Read("from", transition.from);
   reader.Read("event", transition.event);
-  // Looked at later, so that a missing target is named as what it is.
+  // Checked in Resolve, so that the error names the event and the state without
+  // a target.
   reader.ReadOptional("to", transition.to);
   Try([&] { return reader.Finish(); },
       [&](const Error& error) { parent.Adopt(error); });
@@ -79,9 +80,9 @@
                                   std::string_view where) {
   const auto it = std::ranges::find(names, name);
   if (it == names.end()) {
-    return Unsound(where,
-                   "\"" + name + "\", which is not among " + std::string(list),
-                   "add it to " + std::string(list) + " or mend the name");
+    return InvalidChart(
+        where, "\"" + name + "\", which is not among " + std::string(list),
+        "add it to " + std::string(list) + " or correct the name");
   }
   return static_cast<std::size_t>(it - names.begin());
 }
@@ -91,8 +92,9 @@
                                std::string_view where) {
   for (auto it = names.begin(); it != names.end(); ++it) {
     if (std::find(names.begin(), it, *it) != it) {
-      return Unsound(where, "\"" + *it + "\" twice among " + std::string(list),
-                     "name it once");
+      return InvalidChart(where,
+                          "\"" + *it + "\" twice among " + std::string(list),
+                          "name it once");
     }
   }
   return {};
@@ -102,10 +104,11 @@
                                       const NamedTransition& named,
                                       std::string_view where) {
   if (named.to.empty()) {
-    return Unsound(where,
-                   "event \"" + named.event +
-                       "\" without a target in state \"" + named.from + "\"",
-                   "give the transition a state in \"to\"");
+    return InvalidChart(where,
+                        "event \"" + named.event +
+                            "\" without a target in state \"" + named.from +
+                            "\"",
+                        "give the transition a state in \"to\"");
   }
   ChartTransition transition;
   BOOST_LEAF_ASSIGN(transition.from,
@@ -124,27 +127,27 @@
         chart.transitions(),
         [&](const ChartTransition& it) { return it.event == n; });
     if (!used) {
-      return Unsound(where,
-                     "event \"" + chart.events()[n] + "\" without a target",
-                     "add a transition for it or remove the event");
+      return InvalidChart(
+          where, "event \"" + chart.events()[n] + "\" without a target",
+          "add a transition for it or remove the event");
     }
   }
   return {};
 }
 
-// Marks what can be reached from the marked states, following each arrow from
-// `tail` to `head`.
-void Spread(const std::vector<ChartTransition>& transitions,
-            std::size_t ChartTransition::*tail,
-            std::size_t ChartTransition::*head,
-            std::vector<bool>& marked) {
-  bool grew = true;
-  while (grew) {
-    grew = false;
+// Marks all states that can be reached from the marked ones by following
+// transitions from `tail` to `head`.
+void MarkReachable(const std::vector<ChartTransition>& transitions,
+                   std::size_t ChartTransition::*tail,
+                   std::size_t ChartTransition::*head,
+                   std::vector<bool>& marked) {
+  bool changed = true;
+  while (changed) {
+    changed = false;
     for (const ChartTransition& it : transitions) {
       if (marked[it.*tail] && !marked[it.*head]) {
         marked[it.*head] = true;
-        grew = true;
+        changed = true;
       }
     }
   }
@@ -154,26 +157,27 @@
                                   std::string_view where) {
   std::vector<bool> reached(chart.states().size());
   reached[chart.initial()] = true;
-  Spread(chart.transitions(), &ChartTransition::from, &ChartTransition::to,
-         reached);
-  std::vector<bool> ends(chart.states().size());
-  for (std::size_t n = 0; n < ends.size(); ++n) {
-    ends[n] = chart.IsFinal(n);
+  MarkReachable(chart.transitions(), &ChartTransition::from,
+                &ChartTransition::to, reached);
+  std::vector<bool> reaches_final(chart.states().size());
+  for (std::size_t n = 0; n < reaches_final.size(); ++n) {
+    reaches_final[n] = chart.IsFinal(n);
   }
-  Spread(chart.transitions(), &ChartTransition::to, &ChartTransition::from,
-         ends);
+  MarkReachable(chart.transitions(), &ChartTransition::to,
+                &ChartTransition::from, reaches_final);
   for (std::size_t n = 0; n < reached.size(); ++n) {
     if (!reached[n]) {
-      return Unsound(
+      return InvalidChart(
           where,
           "state \"" + chart.states()[n] + "\", which no transition reaches",
           "add a transition to it or remove the state");
     }
-    if (!ends[n]) {
-      return Unsound(where,
-                     "state \"" + chart.states()[n] +
-                         "\", from which no final state is reached",
-                     "add a way to a final state or list it in \"final\"");
+    if (!reaches_final[n]) {
+      return InvalidChart(
+          where,
+          "state \"" + chart.states()[n] +
+              "\", from which no final state is reached",
+          "add a transition towards a final state or list it in \"final\"");
     }
   }
   return {};
@@ -183,30 +187,30 @@
 
 leaf::result<StateChart> StateChart::Parse(std::string_view text,
                                            std::string_view where) {
-  BOOST_LEAF_AUTO(read, ReadText(text, where));
-  BOOST_LEAF_CHECK(CheckUnique(read.states, "states", where));
-  BOOST_LEAF_CHECK(CheckUnique(read.events, "events", where));
+  BOOST_LEAF_AUTO(parsed, ReadText(text, where));
+  BOOST_LEAF_CHECK(CheckUnique(parsed.states, "states", where));
+  BOOST_LEAF_CHECK(CheckUnique(parsed.events, "events", where));
   StateChart chart;
-  chart.name_ = read.name;
-  chart.states_ = read.states;
-  chart.events_ = read.events;
+  chart.name_ = parsed.name;
+  chart.states_ = parsed.states;
+  chart.events_ = parsed.events;
   BOOST_LEAF_ASSIGN(chart.initial_,
-                    IndexOf(read.states, read.initial, "states", where));
-  chart.final_.resize(read.states.size());
-  for (const std::string& name : read.final) {
-    BOOST_LEAF_AUTO(state, IndexOf(read.states, name, "states", where));
+                    IndexOf(parsed.states, parsed.initial, "states", where));
+  chart.final_.resize(parsed.states.size());
+  for (const std::string& name : parsed.final) {
+    BOOST_LEAF_AUTO(state, IndexOf(parsed.states, name, "states", where));
     chart.final_[state] = true;
   }
-  for (const NamedTransition& named : read.transitions) {
-    BOOST_LEAF_AUTO(transition, Resolve(read, named, where));
+  for (const NamedTransition& named : parsed.transitions) {
+    BOOST_LEAF_AUTO(transition, Resolve(parsed, named, where));
     if (chart.Next(transition.from, transition.event)) {
-      return Unsound(where, "a second " + Shown(named),
-                     "keep one target for each state and event");
+      return InvalidChart(where, "a second " + Describe(named),
+                          "keep one target for each state and event");
     }
     if (chart.final_[transition.from]) {
-      return Unsound(where, Shown(named) + " leaves a final state",
-                     "remove the transition or take the state out of "
-                     "\"final\"");
+      return InvalidChart(where, Describe(named) + " leaves a final state",
+                          "remove the transition or take the state out of "
+                          "\"final\"");
     }
     chart.transitions_.push_back(transition);
   }
@@ -217,9 +221,9 @@
 
 std::optional<std::size_t> StateChart::Next(std::size_t state,
                                             std::size_t event) const {
-  const auto it =
-      std::ranges::find_if(transitions_, [&](const ChartTransition& arrow) {
-        return arrow.from == state && arrow.event == event;
+  const auto it = std::ranges::find_if(
+      transitions_, [&](const ChartTransition& transition) {
+        return transition.from == state && transition.event == event;
       });
   if (it == transitions_.end()) {
     return std::nullopt;
--- a/core/state_chart.h
+++ b/core/state_chart.h
@@ -11,7 +11,8 @@
 
 namespace damasktack {
 
-// One arrow of a chart; the numbers index states() and events().
+// One transition of a chart; the members are indexes into states() and
+// events().
 struct ChartTransition {
   std::size_t from = 0;
   std::size_t event = 0;
@@ -20,14 +21,15 @@
   bool operator==(const ChartTransition&) const = default;
 };
 
-// States, events and transitions read from a JSON file; code interprets them
-// through BoundChart. A chart that exists is sound: every state can be
-// reached, every event is used, no state and event have two targets, final
-// states are never left and one of them can be reached from everywhere.
+// A finite state machine that was read from a JSON file; code uses it through
+// BoundChart. Every StateChart is valid: every state is reachable, every event
+// is used, each state has at most one transition per event, final states have
+// no outgoing transitions and a final state can be reached from every state.
 class StateChart {
  public:
-  // `where` names the source in errors, which are of kind kUnsoundChart
-  // unless the text is no JSON of the expected form.
+  // Parses and validates a chart. `where` names the source in errors. Errors
+  // are of kind kInvalidChart unless the text is not JSON of the expected
+  // structure.
   static leaf::result<StateChart> Parse(std::string_view text,
                                         std::string_view where);
 
@@ -40,7 +42,8 @@
   std::size_t initial() const { return initial_; }
   bool IsFinal(std::size_t state) const { return final_[state]; }
 
-  // Null where the event means nothing in the state.
+  // Returns the target state, or null if the state has no transition for the
+  // event.
   std::optional<std::size_t> Next(std::size_t state, std::size_t event) const;
 
  private:
--- a/core/tcp_liveness.h
+++ b/core/tcp_liveness.h
@@ -5,12 +5,12 @@
 
 namespace damasktack {
 
-// A path may lose a connection without a reset: what is written on it gets no
-// acknowledgement, and a reader waits for ever. Lets the kernel end such a
-// connection: one that is in use once bytes have gone unacknowledged for
-// `unacknowledged`, an idle one about two seconds after it was lost. The
-// peer's slowness does not count, as its kernel acknowledges for it. Costs no
-// wake-ups of this process.
+// Makes the kernel close connections whose network path was lost without a
+// reset. Data written to such a connection is never acknowledged and readers
+// wait forever. A connection in use is closed once data has been unacknowledged
+// for `unacknowledged`, an idle one about two seconds after the path was lost.
+// A slow peer process does not count, since its kernel still acknowledges.
+// Costs no wake-ups of this process.
 void EndLostConnection(int socket, std::chrono::milliseconds unacknowledged);
 
 }  // namespace damasktack
--- a/core/time.h
+++ b/core/time.h
@@ -5,9 +5,10 @@
 
 namespace damasktack {
 
-// Every decision takes the current time as a parameter; only the outermost
-// loops read the clock. The monotonic clock goes on while a process is
-// stopped, so a late waker sees how long it was away.
+// Functions that make decisions take the current time as a parameter; only the
+// outermost loops read the clock. The monotonic clock keeps running while a
+// process is stopped, so that a process that resumes late can tell how long it
+// was paused.
 using Clock = std::chrono::steady_clock;
 using TimePoint = Clock::time_point;
 using Duration = std::chrono::nanoseconds;
--- a/core/token_bucket.h
+++ b/core/token_bucket.h
@@ -7,14 +7,15 @@
 
 namespace damasktack {
 
-// Grants `rate` things a second on average and up to `burst` at once: in any
-// interval at most rate * interval + burst. Begins full.
+// Token bucket that grants `rate` tokens per second on average and up to
+// `burst` at once, that is, at most rate * interval + burst in any interval.
+// Starts full.
 class TokenBucket {
  public:
   TokenBucket(double rate, double burst)
       : rate_(rate), burst_(burst), tokens_(burst) {}
 
-  // Takes one; false where there is none.
+  // Takes one token; returns false if there is none.
   bool Take(TimePoint now) {
     Refill(now);
     if (tokens_ < 1) {
@@ -24,7 +25,7 @@
     return true;
   }
 
-  // Takes effect from now on; what was saved up beyond the new burst is lost.
+  // Changes rate and burst from now on; tokens beyond the new burst are lost.
   void SetBounds(double rate, double burst, TimePoint now) {
     Refill(now);
     rate_ = rate;
--- a/tests/contract/test_contract_check.cc
+++ b/tests/contract/test_contract_check.cc
@@ -10,23 +10,23 @@
 namespace damasktack {
 namespace {
 
-std::string Text(const std::filesystem::path& path) {
+std::string ReadFile(const std::filesystem::path& path) {
   std::ifstream file(path);
   std::ostringstream text;
   text << file.rdbuf();
   return text.str();
 }
 
-std::string Source(const std::string& path) {
+std::string SourcePath(const std::string& path) {
   return std::string(DAMASKTACK_SOURCE_DIR) + "/" + path;
 }
 
-Document AsDocument(DocumentName name, const std::string& body) {
+Document MakeDocument(DocumentName name, const std::string& body) {
   return Document{name, 1, body};
 }
 
-std::optional<Error> FaultIn(DocumentName name, const std::string& body) {
-  const Document document = AsDocument(name, body);
+std::optional<Error> ParseError(DocumentName name, const std::string& body) {
+  const Document document = MakeDocument(name, body);
   return FaultOf([&]() -> leaf::result<void> {
     switch (name) {
       case DocumentName::kContracts:
@@ -43,37 +43,37 @@
   });
 }
 
-// Each file under broken/ is one mistake that an operator may publish. The
-// whole document is refused with the place and what to write instead, so that
-// the last good contracts stay in force and the operator needs no manual.
-TEST_CASE("each broken document is refused with its place and remedy") {
-  int seen = 0;
-  const auto folder = Source("tests/contract/broken");
+// Each file under broken/ holds one mistake that an operator may publish. The
+// whole document must be rejected, so that the last valid contracts stay in
+// force, and the error must name the location and the remedy.
+TEST_CASE("each invalid document is rejected with location and remedy") {
+  int checked = 0;
+  const auto folder = SourcePath("tests/contract/broken");
   for (const auto& it : std::filesystem::directory_iterator(folder)) {
     const std::string name = it.path().filename().string();
     CAPTURE(name);
-    const Json expected = Json::parse(Text(it.path()));
-    const auto fault = FaultIn(DocumentName::kContracts,
-                               expected["document"].get<std::string>());
-    REQUIRE(fault);
-    CHECK(ToString(fault->kind) == expected["kind"].get<std::string>());
-    CHECK(fault->where == expected["where"].get<std::string>());
+    const Json expected = Json::parse(ReadFile(it.path()));
+    const auto error = ParseError(DocumentName::kContracts,
+                                  expected["document"].get<std::string>());
+    REQUIRE(error);
+    CHECK(ToString(error->kind) == expected["kind"].get<std::string>());
+    CHECK(error->where == expected["where"].get<std::string>());
     const auto remedy = expected["remedy_says"].get<std::string>();
-    CAPTURE(fault->remedy);
-    CHECK(fault->remedy.find(remedy) != std::string::npos);
-    ++seen;
+    CAPTURE(error->remedy);
+    CHECK(error->remedy.find(remedy) != std::string::npos);
+    ++checked;
   }
-  CHECK(seen >= 20);
+  CHECK(checked >= 20);
 }
 
-TEST_CASE("what stands where a digest belongs is not shown") {
-  const auto fault = FaultIn(DocumentName::kContracts, R"({"contracts": [
+TEST_CASE("an invalid key digest is not shown in the error") {
+  const auto error = ParseError(DocumentName::kContracts, R"({"contracts": [
     {"customer": "a", "key_sha256": ["the-key-itself"], "requests": []}]})");
-  REQUIRE(fault);
-  CHECK(ToString(*fault).find("the-key-itself") == std::string::npos);
+  REQUIRE(error);
+  CHECK(ToString(*error).find("the-key-itself") == std::string::npos);
 }
 
-TEST_CASE("services and hosts") {
+TEST_CASE("invalid services and hosts are rejected with their location") {
   struct Case {
     DocumentName name;
     std::string body;
@@ -127,18 +127,18 @@
   };
   for (const Case& it : cases) {
     CAPTURE(it.body);
-    const auto fault = FaultIn(it.name, it.body);
-    REQUIRE(fault);
-    CHECK(fault->kind == it.kind);
-    CHECK(fault->where == it.where);
-    CHECK(!fault->remedy.empty());
+    const auto error = ParseError(it.name, it.body);
+    REQUIRE(error);
+    CHECK(error->kind == it.kind);
+    CHECK(error->where == it.where);
+    CHECK(!error->remedy.empty());
   }
 }
 
-// A wider rule that stands below narrower ones is how contracts are meant to
-// be written; only the reverse hides a rule.
-TEST_CASE("narrow rules above wide ones are sound") {
-  CHECK(!FaultIn(DocumentName::kContracts, R"({"contracts": [
+// A narrow rule above a wider one is the intended order; only the reverse makes
+// a rule unreachable.
+TEST_CASE("narrow rules above wider rules are valid") {
+  CHECK(!ParseError(DocumentName::kContracts, R"({"contracts": [
     {"customer": "a", "requests": [
       {"service": "s", "methods": ["POST"], "path_prefix": "/dock"},
       {"service": "s", "methods": ["POST"]},
@@ -146,37 +146,37 @@
       {"service": "s"}]}]})"));
 }
 
-TEST_CASE("the examples are sound and name only services that they publish") {
+TEST_CASE("the examples are valid and reference only published services") {
   for (const char* it : {"alentejo", "cuyo"}) {
     CAPTURE(it);
-    const std::string folder = Source("examples/") + it + "/";
-    const auto fault = FaultOf([&]() -> leaf::result<void> {
-      BOOST_LEAF_AUTO(contracts, ParseContracts(AsDocument(
+    const std::string folder = SourcePath("examples/") + it + "/";
+    const auto error = FaultOf([&]() -> leaf::result<void> {
+      BOOST_LEAF_AUTO(contracts, ParseContracts(MakeDocument(
                                      DocumentName::kContracts,
-                                     Text(folder + "contracts.json"))));
-      BOOST_LEAF_AUTO(
-          services, ParseServices(AsDocument(DocumentName::kServices,
-                                             Text(folder + "services.json"))));
+                                     ReadFile(folder + "contracts.json"))));
+      BOOST_LEAF_AUTO(services, ParseServices(MakeDocument(
+                                    DocumentName::kServices,
+                                    ReadFile(folder + "services.json"))));
       BOOST_LEAF_CHECK(ParseHosts(
-          AsDocument(DocumentName::kHosts, Text(folder + "hosts.json"))));
+          MakeDocument(DocumentName::kHosts, ReadFile(folder + "hosts.json"))));
       BOOST_LEAF_CHECK(CheckReferences(contracts, services));
       return {};
     });
-    CHECK(fault.value_or(Error{}) == Error{});
+    CHECK(error.value_or(Error{}) == Error{});
   }
 }
 
-TEST_CASE("a service that nobody publishes is found") {
-  const auto fault = FaultOf([&]() -> leaf::result<void> {
+TEST_CASE("a reference to an unpublished service is detected") {
+  const auto error = FaultOf([&]() -> leaf::result<void> {
     BOOST_LEAF_AUTO(contracts,
-                    ParseContracts(AsDocument(DocumentName::kContracts,
-                                              R"({"contracts": [
+                    ParseContracts(MakeDocument(DocumentName::kContracts,
+                                                R"({"contracts": [
       {"customer": "a", "requests": [{"service": "s"}]}]})")));
     return CheckReferences(contracts, ServiceBook{});
   });
-  REQUIRE(fault);
-  CHECK(fault->kind == ErrorKind::kUnknownReference);
-  CHECK(fault->where == "contracts[0].requests[0].service");
+  REQUIRE(error);
+  CHECK(error->kind == ErrorKind::kUnknownReference);
+  CHECK(error->where == "contracts[0].requests[0].service");
 }
 
 }  // namespace
--- a/tests/contract/test_contract_diff.cc
+++ b/tests/contract/test_contract_diff.cc
@@ -6,25 +6,25 @@
 namespace damasktack {
 namespace {
 
-Contract Named(const std::string& customer, std::int64_t share) {
+Contract MakeContract(const std::string& customer, std::int64_t share) {
   Contract contract;
   contract.customer = CustomerId(customer);
   contract.share = share;
   return contract;
 }
 
-RequestRule Rule(const std::string& service) {
+RequestRule MakeRule(const std::string& service) {
   RequestRule rule;
   rule.service = ServiceId(service);
   return rule;
 }
 
-TEST_CASE("added, removed, changed and displaced customers") {
-  Contract changed = Named("c", 2);
+TEST_CASE("added, removed, changed and displaced customers are reported") {
+  Contract changed = MakeContract("c", 2);
   changed.limits.calls_per_second = 5;
-  const auto changes =
-      DiffContracts({Named("a", 1), Named("c", 2), Named("d", 1)},
-                    {Named("b", 4), changed, Named("d", 1)});
+  const auto changes = DiffContracts(
+      {MakeContract("a", 1), MakeContract("c", 2), MakeContract("d", 1)},
+      {MakeContract("b", 4), changed, MakeContract("d", 1)});
   REQUIRE(changes.size() == 4);
   CHECK(changes[0].kind == ContractChangeKind::kRemoved);
   CHECK(changes[0].share_before == doctest::Approx(0.25));
@@ -38,15 +38,15 @@
   CHECK(changes[3].fields.empty());
 }
 
-TEST_CASE("rules and their order") {
-  Contract before = Named("a", 1);
-  before.requests = {Rule("s"), Rule("t"), Rule("u")};
+TEST_CASE("changed rules and a changed order of rules are reported") {
+  Contract before = MakeContract("a", 1);
+  before.requests = {MakeRule("s"), MakeRule("t"), MakeRule("u")};
   Contract after = before;
   std::swap(after.requests[0], after.requests[1]);
   const auto swapped = DiffContracts({before}, {after});
   REQUIRE(swapped.size() == 1);
   CHECK(swapped[0].fields.front().field == "order of rules");
-  after.requests = {Rule("s"), Rule("u"), Rule("v")};
+  after.requests = {MakeRule("s"), MakeRule("u"), MakeRule("v")};
   const auto changes = DiffContracts({before}, {after});
   REQUIRE(changes.size() == 1);
   REQUIRE(changes[0].fields.size() == 2);
@@ -55,8 +55,8 @@
   CHECK(changes[0].fields[1].after.starts_with("v/"));
 }
 
-TEST_CASE("keys are counted, never shown") {
-  Contract before = Named("a", 1);
+TEST_CASE("changed keys are counted and never shown") {
+  Contract before = MakeContract("a", 1);
   before.key_sha256 = {"1", "2"};
   Contract after = before;
   after.key_sha256 = {"2", "3", "4"};
@@ -67,13 +67,14 @@
                                  {"keys added", "0", "2"}});
 }
 
-TEST_CASE("shares add up to one, and a swap of sides mirrors the result") {
+TEST_CASE(
+    "share changes add up to zero and are symmetric in both contract lists") {
   CHECK(rc::check([](const std::vector<std::uint8_t>& old_shares,
                      const std::vector<std::uint8_t>& new_shares) {
     const auto contracts = [](const std::vector<std::uint8_t>& shares) {
       std::vector<Contract> list;
       for (std::size_t n = 0; n < shares.size(); ++n) {
-        list.push_back(Named("c" + std::to_string(n), shares[n] + 1));
+        list.push_back(MakeContract("c" + std::to_string(n), shares[n] + 1));
       }
       return list;
     };
@@ -88,7 +89,8 @@
       gained += changes[n].share_after - changes[n].share_before;
       RC_ASSERT(changes[n].share_after == mirrored[n].share_before);
     }
-    // What one customer gains the others lose, unless a side is empty.
+    // What one customer gains the others lose, unless one of the lists is
+    // empty.
     const double expected = static_cast<double>(!after.empty()) -
                             static_cast<double>(!before.empty());
     RC_ASSERT(std::abs(gained - expected) < 1e-9);
--- a/tests/contract/test_route.cc
+++ b/tests/contract/test_route.cc
@@ -16,23 +16,23 @@
   });
 }
 
-// Compares each route with every other.
-Urgency NaiveUrgency(const RouteBook& book,
-                     const std::vector<std::int64_t>& ranks,
-                     std::size_t route) {
-  std::set<std::int64_t> before;
-  for (std::size_t n = 0; n < book.routes.size(); ++n) {
+// Reference implementation: compares each route with every other one.
+Urgency ReferenceUrgency(const RouteBook& table,
+                         const std::vector<std::int64_t>& ranks,
+                         std::size_t route) {
+  std::set<std::int64_t> higher_ranks;
+  for (std::size_t n = 0; n < table.routes.size(); ++n) {
     if (ranks[n] < ranks[route] &&
-        ShareService(book.routes[n], book.routes[route])) {
-      before.insert(ranks[n]);
+        ShareService(table.routes[n], table.routes[route])) {
+      higher_ranks.insert(ranks[n]);
     }
   }
-  return static_cast<Urgency>(std::min(before.size(), kUrgencyCount - 1));
+  return static_cast<Urgency>(std::min(higher_ranks.size(), kUrgencyCount - 1));
 }
 
-TEST_CASE("ranks by service agree with comparing every pair of routes") {
+TEST_CASE("urgencies agree with a comparison of every pair of routes") {
   CHECK(rc::check([] {
-    RouteBook book;
+    RouteBook table;
     std::vector<std::int64_t> ranks;
     const int routes = *rc::gen::inRange(0, 12);
     for (int n = 0; n < routes; ++n) {
@@ -42,12 +42,12 @@
         const int service = *rc::gen::inRange(0, 4);
         route.targets.push_back({ServiceId(std::to_string(service)), 1});
       }
-      book.routes.push_back(std::move(route));
+      table.routes.push_back(std::move(route));
       ranks.push_back(*rc::gen::inRange<std::int64_t>(0, 5));
     }
-    RankByService(book, ranks);
-    for (std::size_t n = 0; n < book.routes.size(); ++n) {
-      RC_ASSERT(book.routes[n].urgency == NaiveUrgency(book, ranks, n));
+    RankByService(table, ranks);
+    for (std::size_t n = 0; n < table.routes.size(); ++n) {
+      RC_ASSERT(table.routes[n].urgency == ReferenceUrgency(table, ranks, n));
     }
   }));
 }
--- a/tests/contract/test_route_book_change.cc
+++ b/tests/contract/test_route_book_change.cc
@@ -18,49 +18,49 @@
   return route;
 }
 
-RouteBook SortedByName(RouteBook book) {
-  std::ranges::sort(book.routes, [](const Route& a, const Route& b) {
+RouteBook SortedByKey(RouteBook table) {
+  std::ranges::sort(table.routes, [](const Route& a, const Route& b) {
     return std::tie(a.host, a.prefix) < std::tie(b.host, b.prefix);
   });
-  return book;
+  return table;
 }
 
-RouteBook DrawBook(std::uint64_t version) {
-  RouteBook book;
-  book.version = version;
-  book.services = {{ServiceId("s"), "/health", 250}};
+RouteBook GenerateRouteTable(std::uint64_t version) {
+  RouteBook table;
+  table.version = version;
+  table.services = {{ServiceId("s"), "/health", 250}};
   for (int n = 0; n < 9; ++n) {
     if (*rc::gen::arbitrary<bool>()) {
-      book.routes.push_back(MakeRoute(n, *rc::gen::inRange(1, 4)));
+      table.routes.push_back(MakeRoute(n, *rc::gen::inRange(1, 4)));
     }
   }
-  book.limits.body_bytes = *rc::gen::inRange(1, 3);
-  return book;
+  table.limits.body_bytes = *rc::gen::inRange(1, 3);
+  return table;
 }
 
-TEST_CASE("the change between two books leads from one to the other") {
+TEST_CASE("applying the delta between two route tables yields the second one") {
   CHECK(rc::check([] {
-    const RouteBook base = DrawBook(3);
-    const RouteBook book = DrawBook(8);
-    const RouteBookChange change = CompareBooks(base, book);
-    RC_ASSERT(ApplyChange(base, change) == SortedByName(book));
+    const RouteBook base = GenerateRouteTable(3);
+    const RouteBook table = GenerateRouteTable(8);
+    const RouteBookChange delta = CompareBooks(base, table);
+    RC_ASSERT(ApplyChange(base, delta) == SortedByKey(table));
   }));
 }
 
-TEST_CASE("a change names only what differs") {
+TEST_CASE("a delta contains only the routes that differ") {
   RouteBook base;
   for (int n = 0; n < 50; ++n) {
     base.routes.push_back(MakeRoute(n, 100));
   }
-  RouteBook book = base;
-  book.version = 2;
-  book.routes[7].timeout = std::chrono::milliseconds(200);
-  book.routes.erase(book.routes.begin());
-  const RouteBookChange change = CompareBooks(base, book);
-  REQUIRE(change.changed.size() == 1);
-  CHECK(change.changed[0] == MakeRoute(7, 200));
-  REQUIRE(change.removed.size() == 1);
-  CHECK(change.removed[0] == RouteKey{"host-0", "/0/"});
+  RouteBook table = base;
+  table.version = 2;
+  table.routes[7].timeout = std::chrono::milliseconds(200);
+  table.routes.erase(table.routes.begin());
+  const RouteBookChange delta = CompareBooks(base, table);
+  REQUIRE(delta.changed.size() == 1);
+  CHECK(delta.changed[0] == MakeRoute(7, 200));
+  REQUIRE(delta.removed.size() == 1);
+  CHECK(delta.removed[0] == RouteKey{"host-0", "/0/"});
 }
 
 }  // namespace
--- a/tests/contract/test_schema.cc
+++ b/tests/contract/test_schema.cc
@@ -9,10 +9,10 @@
 namespace damasktack {
 namespace {
 
-// The schemas are for editors and other people's tools; the parser is what
-// counts. These tests keep the two saying the same.
+// The schemas are used by editors and third-party tools; the parser is
+// authoritative. These tests check that both accept the same documents.
 
-Json Schema(const std::string& name) {
+Json LoadSchema(const std::string& name) {
   std::ifstream file(std::string(DAMASKTACK_SOURCE_DIR) + "/contract/schema/" +
                      name + ".schema.json");
   std::ostringstream text;
@@ -20,16 +20,17 @@
   return Json::parse(text.str());
 }
 
-// A schema of one list item beside an item of that list.
+// The schema of one object together with a valid document that contains such an
+// object.
 struct Level {
   Json schema;
-  // The document, and where in it the object of this level stands.
+  // A valid document, and the location of the object in it.
   Json document;
   Json::json_pointer object;
   DocumentName name = DocumentName::kContracts;
 };
 
-std::optional<Error> Fault(const Level& level, const Json& document) {
+std::optional<Error> ParseError(const Level& level, const Json& document) {
   const Document text{level.name, 1, document.dump()};
   return FaultOf([&]() -> leaf::result<void> {
     switch (level.name) {
@@ -47,8 +48,8 @@
   });
 }
 
-// The document with one member of the level's object set.
-Json With(const Level& level, const std::string& key, const Json& value) {
+// Returns the level's document with one member of the object set to `value`.
+Json WithMember(const Level& level, const std::string& key, const Json& value) {
   Json document = level.document;
   document[level.object][key] = value;
   return document;
@@ -63,9 +64,11 @@
   "peer_address": "10.0.0.1:1", "zone": "z"}]})");
 
 std::vector<Level> Levels() {
-  const Json contract = Schema("contracts")["properties"]["contracts"]["items"];
-  const Json service = Schema("services")["properties"]["services"]["items"];
-  const Json host = Schema("hosts")["properties"]["hosts"]["items"];
+  const Json contract =
+      LoadSchema("contracts")["properties"]["contracts"]["items"];
+  const Json service =
+      LoadSchema("services")["properties"]["services"]["items"];
+  const Json host = LoadSchema("hosts")["properties"]["hosts"]["items"];
   const auto at = [](const char* path) { return Json::json_pointer(path); };
   return {
       {contract, kContracts, at("/contracts/0"), DocumentName::kContracts},
@@ -80,12 +83,13 @@
   };
 }
 
-// The members that the parser names when it meets one that it does not know.
-std::set<std::string> MembersOfParser(const Level& level) {
-  const auto fault = Fault(level, With(level, "no-such-member", 1));
-  REQUIRE(fault);
-  REQUIRE(fault->kind == ErrorKind::kUnknownKey);
-  std::istringstream words(fault->remedy.substr(fault->remedy.find(':') + 1));
+// Returns the members that the parser accepts, as listed in its error about an
+// unknown member.
+std::set<std::string> ParserMembers(const Level& level) {
+  const auto error = ParseError(level, WithMember(level, "no-such-member", 1));
+  REQUIRE(error);
+  REQUIRE(error->kind == ErrorKind::kUnknownKey);
+  std::istringstream words(error->remedy.substr(error->remedy.find(':') + 1));
   std::set<std::string> members;
   for (std::string word; words >> word;) {
     members.insert(word);
@@ -93,15 +97,15 @@
   return members;
 }
 
-TEST_CASE("schema and parser know the same members") {
+TEST_CASE("schema and parser accept the same members") {
   for (const Level& level : Levels()) {
     CAPTURE(level.object.to_string());
-    REQUIRE(!Fault(level, level.document));
+    REQUIRE(!ParseError(level, level.document));
     std::set<std::string> members;
     for (const auto& it : level.schema["properties"].items()) {
       members.insert(it.key());
     }
-    CHECK(members == MembersOfParser(level));
+    CHECK(members == ParserMembers(level));
     CHECK(level.schema["additionalProperties"] == false);
   }
 }
@@ -113,17 +117,17 @@
       CAPTURE(it.key());
       Json document = level.document;
       document[level.object].erase(it.key());
-      const auto fault = Fault(level, document);
+      const auto error = ParseError(level, document);
       const auto& required = level.schema["required"];
       const bool is_required = std::find(required.begin(), required.end(),
                                          it.key()) != required.end();
-      CHECK(is_required == fault.has_value());
-      CHECK((!fault || fault->kind == ErrorKind::kMissingKey));
+      CHECK(is_required == error.has_value());
+      CHECK((!error || error->kind == ErrorKind::kMissingKey));
     }
   }
 }
 
-TEST_CASE("schema and parser agree on ranges and names") {
+TEST_CASE("schema and parser agree on ranges and enum values") {
   for (const Level& level : Levels()) {
     for (const auto& it : level.schema["properties"].items()) {
       CAPTURE(level.object.to_string());
@@ -132,13 +136,13 @@
       if (property.contains("minimum")) {
         const auto low = property["minimum"].get<std::int64_t>();
         const auto high = property["maximum"].get<std::int64_t>();
-        CHECK(!Fault(level, With(level, it.key(), low)));
-        CHECK(!Fault(level, With(level, it.key(), high)));
-        CHECK(Fault(level, With(level, it.key(), low - 1)));
-        CHECK(Fault(level, With(level, it.key(), high + 1)));
+        CHECK(!ParseError(level, WithMember(level, it.key(), low)));
+        CHECK(!ParseError(level, WithMember(level, it.key(), high)));
+        CHECK(ParseError(level, WithMember(level, it.key(), low - 1)));
+        CHECK(ParseError(level, WithMember(level, it.key(), high + 1)));
       }
       for (const Json& name : property.value("enum", Json::array())) {
-        CHECK(!Fault(level, With(level, it.key(), name)));
+        CHECK(!ParseError(level, WithMember(level, it.key(), name)));
       }
     }
   }
--- a/tests/core/test_column_table.cc
+++ b/tests/core/test_column_table.cc
@@ -5,36 +5,36 @@
 namespace damasktack {
 namespace {
 
-std::optional<Error> Fault(const Json& json) {
+std::optional<Error> OpenError(const Json& json) {
   return FaultOf([&]() -> leaf::result<void> {
     BOOST_LEAF_CHECK(ColumnTable::Open(json, "table"));
     return {};
   });
 }
 
-TEST_CASE("a row comes back by the names of its columns") {
+TEST_CASE("a row is read back as an object keyed by column") {
   const Json json = ColumnTable::Make(
       {"name", "size"},
       Json::array({Json::array({"a", 1}), Json::array({"b", nullptr})}));
   std::vector<Json> rows;
-  const auto fault = FaultOf([&]() -> leaf::result<void> {
+  const auto error = FaultOf([&]() -> leaf::result<void> {
     BOOST_LEAF_AUTO(table, ColumnTable::Open(json, "table"));
     for (std::size_t n = 0; n < table.size(); ++n) {
       rows.push_back(table.Row(n));
     }
     return {};
   });
-  REQUIRE(!fault);
+  REQUIRE(!error);
   CHECK(rows ==
         std::vector<Json>{{{"name", "a"}, {"size", 1}}, {{"name", "b"}}});
 }
 
-TEST_CASE("tables of another shape are refused with the row named") {
-  CHECK(Fault(Json::array()));
-  CHECK(Fault({{"columns", {"name"}}}));
-  CHECK(Fault({{"columns", "name"}, {"rows", Json::array()}}));
-  CHECK(Fault({{"columns", {"name"}}, {"rows", Json::array({"a"})}}));
-  const auto short_row = Fault(ColumnTable::Make(
+TEST_CASE("malformed tables are rejected and the error names the row") {
+  CHECK(OpenError(Json::array()));
+  CHECK(OpenError({{"columns", {"name"}}}));
+  CHECK(OpenError({{"columns", "name"}, {"rows", Json::array()}}));
+  CHECK(OpenError({{"columns", {"name"}}, {"rows", Json::array({"a"})}}));
+  const auto short_row = OpenError(ColumnTable::Make(
       {"name", "size"},
       Json::array({Json::array({"a", 1}), Json::array({"b"})})));
   REQUIRE(short_row);
--- a/tests/core/test_host_state.cc
+++ b/tests/core/test_host_state.cc
@@ -7,7 +7,7 @@
 namespace damasktack {
 namespace {
 
-TEST_CASE("the host's chart is walked transition by transition") {
+TEST_CASE("the host's bound chart has exactly the transitions of its file") {
   WalkChart("core/charts/host.json", HostChartText(), GetHostChart());
   CHECK(GetHostChart().initial() == HostState::kStarting);
   CHECK(GetHostChart().IsFinal(HostState::kStopped));
--- a/tests/core/test_json_reader.cc
+++ b/tests/core/test_json_reader.cc
@@ -19,11 +19,11 @@
       [](const Error& error) { return error; });
 }
 
-TEST_CASE("comments are read over") {
+TEST_CASE("comments are ignored") {
   CHECK(ErrorOf("{ /* why */ \"time\": \"5ms\" }") == Error{});
 }
 
-TEST_CASE("each fault names its key and the remedy") {
+TEST_CASE("each error names its key and the remedy") {
   CHECK(ErrorOf("{").kind == ErrorKind::kInvalidJson);
   CHECK(ErrorOf("{}").kind == ErrorKind::kMissingKey);
   CHECK(ErrorOf("{\"time\": 5}").kind == ErrorKind::kWrongUnit);
--- a/tests/core/test_state_chart.cc
+++ b/tests/core/test_state_chart.cc
@@ -5,21 +5,22 @@
 
 namespace damasktack {
 
-enum class Door : std::uint8_t { kOpen, kShut };
-enum class Push : std::uint8_t { kClose };
+enum class DoorState : std::uint8_t { kOpen, kShut };
+enum class DoorEvent : std::uint8_t { kClose };
 
 template <>
-struct ChartNames<Door> {
+struct ChartNames<DoorState> {
   static constexpr std::array<std::string_view, 2> kNames = {"open", "shut"};
 };
 template <>
-struct ChartNames<Push> {
+struct ChartNames<DoorEvent> {
   static constexpr std::array<std::string_view, 1> kNames = {"close"};
 };
 
 namespace {
 
-// A chart of the states a, b, c with the given rest.
+// Returns a chart with the states a, b and c and the given final states, events
+// and transitions.
 std::string Chart(const std::string& final,
                   const std::string& events,
                   const std::string& transitions) {
@@ -38,7 +39,7 @@
       [](const Error& error) { return error; });
 }
 
-void CheckUnsound(const std::string& text, const std::string& found) {
+void CheckInvalid(const std::string& text, const std::string& found) {
   const Error error = ErrorOf(text);
   CHECK(error.kind == ErrorKind::kUnsoundChart);
   CHECK_MESSAGE(error.found.find(found) != std::string::npos, error);
@@ -48,44 +49,46 @@
 const std::string kAToB = R"({"from": "a", "event": "go", "to": "b"},)";
 const std::string kBToC = R"({"from": "b", "event": "go", "to": "c"})";
 
-TEST_CASE("a sound chart is read") {
+TEST_CASE("a valid chart is parsed") {
   CHECK(ErrorOf(Chart(R"("c")", R"("go")", kAToB + kBToC)) == Error{});
 }
 
-TEST_CASE("each unsound chart is refused with what is wrong in it") {
-  CheckUnsound(Chart(R"("c", "b")", R"("go")",
+TEST_CASE("each invalid chart is rejected and the error names its fault") {
+  CheckInvalid(Chart(R"("c", "b")", R"("go")",
                      R"({"from": "a", "event": "go", "to": "c"})"),
                "\"b\", which no transition reaches");
-  CheckUnsound(Chart(R"("c")", R"("go", "stop")", kAToB + kBToC),
+  CheckInvalid(Chart(R"("c")", R"("go", "stop")", kAToB + kBToC),
                "event \"stop\" without a target");
-  CheckUnsound(
+  CheckInvalid(
       Chart(R"("c")", R"("go")", kAToB + R"({"from": "b", "event": "go"})"),
       "event \"go\" without a target in state \"b\"");
-  CheckUnsound(Chart(R"("c")", R"("go")",
+  CheckInvalid(Chart(R"("c")", R"("go")",
                      kAToB + R"({"from": "b", "event": "go", "to": "d"})"),
                "\"d\", which is not among states");
-  CheckUnsound(Chart(R"("c")", R"("go")", kAToB + kAToB + kBToC),
+  CheckInvalid(Chart(R"("c")", R"("go")", kAToB + kAToB + kBToC),
                "a second transition from \"a\"");
-  CheckUnsound(Chart("", R"("go")", kAToB + kBToC),
+  CheckInvalid(Chart("", R"("go")", kAToB + kBToC),
                "from which no final state is reached");
-  CheckUnsound(
+  CheckInvalid(
       Chart(R"("c")", R"("go")",
             kAToB + kBToC + R"(,{"from": "c", "event": "go", "to": "a"})"),
       "leaves a final state");
-  CheckUnsound(Chart(R"("c")", R"("go", "go")", kAToB + kBToC),
+  CheckInvalid(Chart(R"("c")", R"("go", "go")", kAToB + kBToC),
                "\"go\" twice among events");
 }
 
-TEST_CASE("a chart that names other states than the enum is not bound") {
+TEST_CASE("a chart whose states differ from the enum is not bound") {
   const auto bind = [](const std::string& text) {
     return Try(
         [&]() -> leaf::result<Error> {
           BOOST_LEAF_AUTO(chart, StateChart::Parse(text, "door.json"));
-          using DoorChart = BoundChart<Door, Push>;
+          using DoorChart = BoundChart<DoorState, DoorEvent>;
           BOOST_LEAF_AUTO(bound, DoorChart::Bind(chart));
-          CHECK(bound.Next(Door::kOpen, Push::kClose) == Door::kShut);
-          CHECK_FALSE(bound.Next(Door::kShut, Push::kClose).has_value());
-          CHECK(bound.IsFinal(Door::kShut));
+          CHECK(bound.Next(DoorState::kOpen, DoorEvent::kClose) ==
+                DoorState::kShut);
+          CHECK_FALSE(
+              bound.Next(DoorState::kShut, DoorEvent::kClose).has_value());
+          CHECK(bound.IsFinal(DoorState::kShut));
           return Error{};
         },
         [](const Error& error) { return error; });
--- a/tests/core/test_tcp_liveness.cc
+++ b/tests/core/test_tcp_liveness.cc
@@ -16,9 +16,9 @@
   return value;
 }
 
-// No packet can be lost on a loopback without privileges, so this asks the
-// kernel what it was told.
-TEST_CASE("a lost connection is ended by the kernel") {
+// Packets on the loopback interface cannot be dropped without privileges, so
+// the test only checks the options that the kernel reports.
+TEST_CASE("lost connection detection sets the options of the kernel") {
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
   REQUIRE(fd >= 0);
   EndLostConnection(fd, std::chrono::milliseconds(700));
