--- a/admin/admin_json.h
+++ b/admin/admin_json.h
@@ -9,13 +9,13 @@
 
 namespace damasktack {
 
-// The administration API's answers, as docs/OPERATIONS.md describes them.
-// Times are whole microseconds in members whose names end in "_us".
+// Renders the responses of the administration API, which docs/OPERATIONS.md
+// describes. Times are whole microseconds in members whose names end in "_us".
 
 Json RenderStatus(const HostReport& host,
                   const std::vector<DocumentReport>& documents);
-// Contracts without the digests of their keys: a digest of a weak key can be
-// guessed, so that even it stays inside.
+// Renders contracts without the digests of their keys, since the digest of a
+// weak key allows guessing the key.
 Json RenderContracts(const std::vector<DocumentReport>& documents,
                      const std::vector<Contract>& contracts);
 Json RenderPeers(const std::vector<PeerReport>& peers);
--- a/admin/admin_report.h
+++ b/admin/admin_report.h
@@ -14,39 +14,40 @@
 
 namespace damasktack {
 
-// What the administration API shows, as typed values. None of them may hold a
+// Typed values that the administration API shows. None of them may contain a
 // key, a key's digest or a token.
 
-// One process as it sees itself.
+// State of one process as reported by itself.
 struct HostReport {
   HostId id;
   ZoneId zone;
   Incarnation incarnation = 0;
   bool ready = false;
-  // An operator has taken the host's readiness away.
+  // Whether an operator has drained the host, which makes it report "not
+  // ready".
   bool drained = false;
-  // The graceful stop has begun.
+  // Whether the graceful stop has begun.
   bool stopping = false;
   Duration uptime{};
   std::int64_t calls_in_flight = 0;
 };
 
-// A published value that did not pass the checks.
+// A published document that failed validation.
 struct RefusedDocument {
   Revision revision = 0;
   Error error;
 };
 
-// Which revision of one document is in force here.
+// Revision of one document that is in force on this host.
 struct DocumentReport {
   DocumentName name = DocumentName::kContracts;
-  // 0 before the first.
+  // 0 until the first document has been accepted.
   Revision in_force = 0;
-  // The latest refusal above the revision in force.
+  // The latest rejected document with a higher revision than the one in force.
   std::optional<RefusedDocument> refused;
 };
 
-// Another host as this one sees it.
+// Another host as seen by this one.
 struct PeerReport {
   HostId id;
   ZoneId zone;
@@ -55,16 +56,16 @@
   bool reachable = false;
 };
 
-// One service with its endpoints and what measuring them cost.
+// One service with its endpoints and the cost of probing them.
 struct ServiceReport {
   ServiceId id;
   BalancerStatus balancer;
 };
 
-// This host's part in one of a customer's fleet-wide limits, in thousandths
-// of a call (a second).
+// This host's part of one of a customer's fleet-wide limits, in thousandths of
+// a call, or of a call per second for rates.
 struct LimitPart {
-  // The contract's number for the whole fleet; 0 for no bound.
+  // The contract's limit for the whole fleet; 0 means no limit.
   std::int64_t contract = 0;
   std::int64_t owned = 0;
   std::int64_t lent = 0;
@@ -74,7 +75,7 @@
 struct CustomerReport {
   CustomerId id;
   std::int64_t share = 1;
-  // Calls since the start, by what their callers were told.
+  // Number of calls since the start, by the outcome reported to their callers.
   std::uint64_t complete = 0;
   std::uint64_t not_run = 0;
   std::uint64_t unknown = 0;
--- a/admin/admin_routes.cc
+++ b/admin/admin_routes.cc
@@ -15,7 +15,7 @@
 
 AdminReply JsonReply(const Json& json) {
   AdminReply reply;
-  // A name that is not UTF-8 must not end the answer with an exception.
+  // Replaces invalid UTF-8 in names, which would otherwise make `dump` throw.
   reply.body = json.dump(-1, ' ', false, Json::error_handler_t::replace);
   return reply;
 }
--- a/admin/admin_routes.h
+++ b/admin/admin_routes.h
@@ -13,10 +13,10 @@
 enum class AdminMethod : std::uint8_t { kGet, kPost, kDelete };
 
 enum class AdminAccess : std::uint8_t {
-  // For the platform's balancer and the metrics collector, which hold no
-  // token; shows no customer's contract.
+  // Without a token, for the platform's balancer and the metrics collector,
+  // which hold none. Shows no customer's contract.
   kOpen,
-  // Only with the bearer token.
+  // Requires the bearer token.
   kToken,
 };
 
@@ -29,19 +29,19 @@
 // One operation of the administration API.
 struct AdminRoute {
   AdminMethod method = AdminMethod::kGet;
-  // A segment "{id}" matches any name, which goes to the handler.
+  // A segment "{id}" matches any name and is passed to the handler.
   std::string_view path;
   AdminAccess access = AdminAccess::kToken;
   AdminReply (*handle)(AdminSource& source, const std::string& segment);
 };
 
-// Every route there is.
+// Returns all routes of the API.
 std::span<const AdminRoute> AdminRoutes();
 
-// 200 where the host takes calls, else 503.
+// Returns status 200 if the host accepts calls, else 503.
 AdminReply ReadinessReply(const AdminSource& source);
 
-// The answer that carries an error.
+// Returns the response that reports an error.
 AdminReply ErrorReply(int status, const Error& error);
 
 }  // namespace damasktack
--- a/admin/admin_server.cc
+++ b/admin/admin_server.cc
@@ -20,8 +20,8 @@
 constexpr std::string_view kBearer = "Bearer ";
 constexpr std::string_view kSegment = "{id}";
 constexpr std::size_t kThreads = 4;
-constexpr std::size_t kMostQueued = 16;
-constexpr std::size_t kLargestBody = 4 << 10;
+constexpr std::size_t kMaxQueued = 16;
+constexpr std::size_t kMaxBodyBytes = 4 << 10;
 constexpr auto kStartPoll = std::chrono::milliseconds(1);
 constexpr auto kReadTimeout = std::chrono::seconds(2);
 constexpr auto kFirstByteTimeout = std::chrono::seconds(1);
@@ -34,7 +34,8 @@
          IsSameSecret(std::string_view(given).substr(kBearer.size()), token);
 }
 
-// cpp-httplib matches paths by regular expression.
+// Returns the regular expression for a route's path, since cpp-httplib matches
+// paths by regular expression.
 std::string PatternOf(std::string_view path) {
   std::string pattern(path);
   const std::size_t at = pattern.find(kSegment);
@@ -49,7 +50,7 @@
   res.set_content(reply.body, reply.content_type);
 }
 
-AdminReply RefuseStranger() {
+AdminReply UnauthorizedReply() {
   return ErrorReply(
       kStatusUnauthorized,
       Error{ErrorKind::kUnauthorized, "header Authorization", "no valid token",
@@ -57,7 +58,7 @@
             "token from the setting admin.token"});
 }
 
-AdminReply RefuseUnknownPath(const httplib::Request& req) {
+AdminReply UnknownPathReply(const httplib::Request& req) {
   std::string remedy = "use one of:";
   for (const AdminRoute& it : AdminRoutes()) {
     remedy += " " + std::string(it.path);
@@ -69,16 +70,16 @@
 
 void Configure(httplib::Server& server) {
   server.new_task_queue = [] {
-    return new BoundedTaskQueue(kThreads, kMostQueued);
+    return new BoundedTaskQueue(kThreads, kMaxQueued);
   };
-  server.set_payload_max_length(kLargestBody);
-  // One call a connection: an idle kept-alive connection would hold one of
-  // the few threads, and the platform's readiness check would time out.
+  server.set_payload_max_length(kMaxBodyBytes);
+  // One request per connection: an idle keep-alive connection would occupy one
+  // of the few threads, and the platform's readiness check would time out.
   server.set_keep_alive_max_count(1);
   server.set_keep_alive_timeout(kFirstByteTimeout.count());
-  // A stop that comes while a connection is being accepted may not wake the
-  // thread that accepts, and the process would never end. It looks by itself
-  // this often.
+  // A stop request that arrives while a connection is being accepted may not
+  // wake the accepting thread, and the process would never end. Therefore that
+  // thread checks for a stop at this interval.
   server.set_idle_interval(kAcceptPoll);
   server.set_read_timeout(kReadTimeout);
   server.set_write_timeout(kWriteTimeout);
@@ -88,7 +89,8 @@
 }  // namespace
 
 bool IsSameSecret(std::string_view given, std::string_view expected) {
-  // Digests have one length, so that the comparison tells no length either.
+  // Comparing digests, which have a fixed length, also hides the length of the
+  // expected token.
   const std::string given_digest = Sha256Hex(given);
   const std::string expected_digest = Sha256Hex(expected);
   return !expected.empty() &&
@@ -124,7 +126,7 @@
                                         httplib::Response& res) {
       if (route.access == AdminAccess::kToken &&
           !HasToken(req, options_.token)) {
-        Send(RefuseStranger(), res);
+        Send(UnauthorizedReply(), res);
         return;
       }
       const std::string segment =
@@ -147,7 +149,7 @@
   server.set_error_handler(
       [](const httplib::Request& req, httplib::Response& res) {
         if (res.status == kStatusNotFound && res.body.empty()) {
-          Send(RefuseUnknownPath(req), res);
+          Send(UnknownPathReply(req), res);
         }
       });
 }
@@ -155,12 +157,12 @@
 leaf::result<void> AdminServer::Bind() {
   httplib::Server& server = backend_->server;
   const char* ip = options_.listen.ip.c_str();
-  const int wanted = options_.listen.port;
+  const int requested_port = options_.listen.port;
   int port = 0;
-  if (wanted == 0) {
+  if (requested_port == 0) {
     port = server.bind_to_any_port(ip);
-  } else if (server.bind_to_port(ip, wanted)) {
-    port = wanted;
+  } else if (server.bind_to_port(ip, requested_port)) {
+    port = requested_port;
   }
   if (port <= 0) {
     return Fail(ErrorKind::kInvalidAddress, "admin.listen",
@@ -178,8 +180,8 @@
   BOOST_LEAF_CHECK(Bind());
   backend_->thread =
       std::thread([this] { backend_->server.listen_after_bind(); });
-  // cpp-httplib forgets a stop that comes before its loop runs; the thread
-  // would then never end.
+  // cpp-httplib loses a stop request that arrives before its loop runs, and the
+  // thread would then never end. Therefore wait until it runs.
   while (!backend_->server.is_running()) {
     std::this_thread::sleep_for(kStartPoll);
   }
--- a/admin/admin_server.h
+++ b/admin/admin_server.h
@@ -13,25 +13,26 @@
 
 struct AdminOptions {
   SocketAddress listen;
-  // Lets `listen` be another address than a loopback one.
+  // Allows `listen` to be an address other than a loopback address.
   bool allow_remote = false;
-  // Bearer token for everything but health, readiness and metrics. Never
-  // logged or shown.
+  // Bearer token that is required for everything but health, readiness and
+  // metrics. Never logged or shown.
   std::string token;
-  // Where the token is read from instead, when the settings are loaded.
+  // File from which the token is read instead when the settings are loaded.
   std::string token_file;
-  // Serves health, readiness and metrics and nothing that needs the token.
+  // Serves only health, readiness and metrics, which need no token.
   bool public_only = false;
-  // Where readiness is served besides its usual path; empty for nowhere.
+  // Additional path of the readiness check; empty for none.
   std::string ready_path;
 };
 
-// Whether the token is the right one, in a time that tells nothing about how
-// much of it is right.
+// Compares a token with the expected one in constant time, so that the duration
+// does not reveal how much of it matches. An empty expected token matches
+// nothing.
 bool IsSameSecret(std::string_view given, std::string_view expected);
 
-// The administration API of one host, over HTTP. Serves a few connections at
-// a time, one call each; answers in JSON.
+// HTTP server for the administration API of one host. Serves a few connections
+// concurrently with one request each and responds in JSON.
 class AdminServer {
  public:
   AdminServer(AdminOptions options, AdminSource& source);
@@ -39,7 +40,7 @@
 
   leaf::result<void> Start();
   void Stop();
-  // The port in use; differs from the setting where that was 0.
+  // Returns the port in use, which differs from the setting if that is 0.
   std::uint16_t port() const { return options_.listen.port; }
 
  private:
--- a/admin/admin_source.h
+++ b/admin/admin_source.h
@@ -9,31 +9,31 @@
 
 namespace damasktack {
 
-// What the administration API shows and does; the daemon stands behind it.
-// Called from the API's own threads, several at a time.
+// Interface through which the administration API reads and controls the daemon.
+// Called concurrently from the API's own threads.
 class AdminSource {
  public:
   virtual ~AdminSource() = default;
 
   virtual bool Ready() const = 0;
-  // The Prometheus text format.
+  // Returns all metrics in the Prometheus text format.
   virtual std::string Metrics() const = 0;
 
   virtual HostReport Host() const = 0;
-  // One for each document, in the order of DocumentName.
+  // Returns one entry for each document in the order of DocumentName.
   virtual std::vector<DocumentReport> Documents() const = 0;
-  // The contracts in force.
+  // Returns the contracts in force.
   virtual std::vector<Contract> Contracts() const = 0;
   virtual std::vector<PeerReport> Peers() const = 0;
   virtual std::vector<ServiceReport> Services() const = 0;
   virtual std::vector<CustomerReport> Customers() const = 0;
   virtual std::vector<CallMetrics::SeriesReport> Histograms() const = 0;
 
-  // Takes this host's readiness away or gives it back. Nothing is written
-  // anywhere: a host that starts anew is not drained.
+  // Drains this host, so that it reports "not ready", or ends the drain. The
+  // state is not persisted: a host that is restarted is not drained.
   virtual void SetDrained(bool drained) = 0;
-  // The operator's word that this host's process has ended for good, so that
-  // its part of every limit may be shared out among the others.
+  // Declares on the operator's behalf that the process of `host` has ended for
+  // good, so that its part of every limit may be distributed among the others.
   virtual leaf::result<void> DeclareGone(const HostId& host) = 0;
 };
 
--- a/admin/bounded_task_queue.cc
+++ b/admin/bounded_task_queue.cc
@@ -7,7 +7,7 @@
 BoundedTaskQueue::BoundedTaskQueue(std::size_t threads, std::size_t most_queued)
     : most_queued_(most_queued) {
   for (std::size_t n = 0; n < threads; ++n) {
-    threads_.emplace_back([this] { Work(); });
+    threads_.emplace_back([this] { RunWorker(); });
   }
 }
 
@@ -18,8 +18,8 @@
 void BoundedTaskQueue::enqueue(std::function<void()> task) {
   std::unique_lock lock(mutex_);
   changed_.wait(lock,
-                [this] { return ending_ || queued_.size() < most_queued_; });
-  // Also while ending: the task owns a connection and has to close it.
+                [this] { return stopping_ || queued_.size() < most_queued_; });
+  // Queued also while stopping: the task owns a connection and has to close it.
   queued_.push_back(std::move(task));
   changed_.notify_all();
 }
@@ -27,7 +27,7 @@
 void BoundedTaskQueue::shutdown() {
   {
     const std::lock_guard lock(mutex_);
-    ending_ = true;
+    stopping_ = true;
     changed_.notify_all();
   }
   for (std::thread& it : threads_) {
@@ -37,10 +37,10 @@
   }
 }
 
-void BoundedTaskQueue::Work() {
+void BoundedTaskQueue::RunWorker() {
   while (true) {
     std::unique_lock lock(mutex_);
-    changed_.wait(lock, [this] { return ending_ || !queued_.empty(); });
+    changed_.wait(lock, [this] { return stopping_ || !queued_.empty(); });
     if (queued_.empty()) {
       return;
     }
--- a/admin/bounded_task_queue.h
+++ b/admin/bounded_task_queue.h
@@ -13,10 +13,10 @@
 
 namespace damasktack {
 
-// Threads for cpp-httplib's server with a queue of a fixed length. The
-// library's own queue grows without bound, so that a flood of connections
-// becomes a flood of memory. Here a full queue makes the accepting thread
-// wait; further connections stay in the kernel's backlog, which is bounded.
+// Thread pool for cpp-httplib's server with a queue of bounded length. The
+// library's own queue is unbounded, so that a flood of connections exhausts
+// memory. Here a full queue blocks the accepting thread; further connections
+// stay in the kernel's backlog, which is bounded.
 class BoundedTaskQueue : public httplib::TaskQueue {
  public:
   BoundedTaskQueue(std::size_t threads, std::size_t most_queued);
@@ -26,13 +26,13 @@
   void shutdown() override;
 
  private:
-  void Work();
+  void RunWorker();
 
   const std::size_t most_queued_;
   std::mutex mutex_;
   std::condition_variable changed_;
   std::deque<std::function<void()>> queued_;
-  bool ending_ = false;
+  bool stopping_ = false;
   std::vector<std::thread> threads_;
 };
 
--- a/tests/admin/fake_admin_source.h
+++ b/tests/admin/fake_admin_source.h
@@ -13,7 +13,7 @@
 inline constexpr auto kFakeDigest =
     "2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683";
 
-// A host with one of everything, so that each route has something to show.
+// Fake source with one entry of every kind, so that each route returns data.
 class FakeAdminSource : public AdminSource {
  public:
   bool Ready() const override { return !drained_; }
--- a/tests/admin/test_admin_server.cc
+++ b/tests/admin/test_admin_server.cc
@@ -12,7 +12,7 @@
 namespace damasktack {
 namespace {
 
-// A server on a free port with a client for it.
+// An admin server on a free port with a client.
 class Fixture {
  public:
   Fixture() : server_(Options(), source_) {
@@ -74,7 +74,7 @@
   AdminServer server_;
 };
 
-TEST_CASE("only the open routes answer without the token") {
+TEST_CASE("only open routes can be used without the token") {
   Fixture fixture;
   for (const AdminRoute& it : AdminRoutes()) {
     CAPTURE(it.path);
@@ -89,28 +89,28 @@
       CHECK((open || result->body.find("remedy") != std::string::npos));
     }
   }
-  // A refused order did nothing.
+  // A rejected request must have no effect.
   CHECK(fixture.Get("/v1/status")["drained"] == false);
 }
 
-TEST_CASE("no answer holds the token, a key or its digest") {
+TEST_CASE("no response contains the token, a key or its digest") {
   Fixture fixture;
   for (const AdminRoute& it : AdminRoutes()) {
     CAPTURE(it.path);
     for (const char* token : {kFakeToken, "wrong"}) {
       const auto result = fixture.Send(it, token);
       REQUIRE(result);
-      std::string all = result->body;
+      std::string text = result->body;
       for (const auto& [name, value] : result->headers) {
-        all += value;
+        text += value;
       }
-      CHECK(all.find(kFakeToken) == std::string::npos);
-      CHECK(all.find(kFakeDigest) == std::string::npos);
+      CHECK(text.find(kFakeToken) == std::string::npos);
+      CHECK(text.find(kFakeDigest) == std::string::npos);
     }
   }
 }
 
-TEST_CASE("each view shows what the source says") {
+TEST_CASE("each route returns the data of the source") {
   Fixture fixture;
   const Json status = fixture.Get("/v1/status");
   CHECK(status["contracts_revision"] == 7);
@@ -135,7 +135,7 @@
   CHECK(histograms["histograms"][0]["total"][0]["count"] == 10);
 }
 
-TEST_CASE("a drain takes readiness away until it is undone") {
+TEST_CASE("a drained host is not ready until the drain is undone") {
   Fixture fixture;
   const auto readiness = [&] {
     return fixture.Send(AdminMethod::kGet, "/readyz", "")->status;
@@ -149,29 +149,30 @@
   CHECK(readiness() == 200);
 }
 
-TEST_CASE("an order that cannot be carried out says why") {
+TEST_CASE("a request that cannot be carried out returns an error") {
   Fixture fixture;
   const auto unknown =
       fixture.Send(AdminMethod::kPost, "/v1/hosts/h9/gone", kFakeToken);
   CHECK(unknown->status == 409);
   CHECK(Json::parse(unknown->body)["kind"] == "unknown-reference");
-  const auto lost = fixture.Send(AdminMethod::kGet, "/v1/nothing", kFakeToken);
-  CHECK(lost->status == 404);
-  CHECK(lost->body.find("/v1/status") != std::string::npos);
+  const auto not_found =
+      fixture.Send(AdminMethod::kGet, "/v1/nothing", kFakeToken);
+  CHECK(not_found->status == 404);
+  CHECK(not_found->body.find("/v1/status") != std::string::npos);
 }
 
-// The platform's balancer asks for readiness while a careless client keeps
-// connections open without sending. Were they to hold all threads for good,
-// the balancer would take a healthy host away.
-TEST_CASE("silent connections do not keep readiness from answering") {
+// Idle connections of a client must not occupy all threads: the platform's
+// balancer would get no answer to its readiness check and take a healthy host
+// out of service.
+TEST_CASE("idle connections do not block the readiness check") {
   Fixture fixture;
   boost::asio::io_context context;
-  std::vector<boost::asio::ip::tcp::socket> silent;
+  std::vector<boost::asio::ip::tcp::socket> idle;
   const boost::asio::ip::tcp::endpoint server(
       boost::asio::ip::make_address("127.0.0.1"), fixture.port());
   for (int n = 0; n < 8; ++n) {
-    silent.emplace_back(context);
-    silent.back().connect(server);
+    idle.emplace_back(context);
+    idle.back().connect(server);
   }
   httplib::Client client("127.0.0.1", fixture.port());
   client.set_read_timeout(std::chrono::seconds(30));
@@ -180,7 +181,7 @@
   CHECK(result->status == 200);
 }
 
-TEST_CASE("a body beyond the bound is refused") {
+TEST_CASE("a request body above the size limit is rejected") {
   Fixture fixture;
   httplib::Client client("127.0.0.1", fixture.port());
   client.set_bearer_token_auth(kFakeToken);
@@ -190,7 +191,7 @@
   CHECK(fixture.Get("/v1/status")["drained"] == false);
 }
 
-TEST_CASE("an empty token lets nobody in") {
+TEST_CASE("an empty expected token matches no token") {
   CHECK(!IsSameSecret("", ""));
   CHECK(!IsSameSecret("a", "b"));
   CHECK(IsSameSecret("same", "same"));
