--- a/main/admin_client.cc
+++ b/main/admin_client.cc
@@ -19,7 +19,7 @@
 constexpr auto kTimeoutOption = "timeout";
 constexpr Duration kDefaultTimeout = std::chrono::seconds(5);
 
-leaf::result<std::string> TokenOf(const CtlInvocation& invocation) {
+leaf::result<std::string> ReadToken(const CtlInvocation& invocation) {
   if (invocation.options.count(kTokenFileOption) > 0) {
     return ReadTokenFile(
         invocation.options[kTokenFileOption].as<std::string>());
@@ -27,12 +27,12 @@
   const char* token = std::getenv(kTokenVariable);
   if (token == nullptr || *token == '\0') {
     return Fail(ErrorKind::kUsage, "token", "none",
-                "name a file with --token-file or set DAMASKTACK_TOKEN");
+                "specify a file with --token-file or set DAMASKTACK_TOKEN");
   }
   return std::string(token);
 }
 
-leaf::result<Duration> TimeoutOf(const CtlInvocation& invocation) {
+leaf::result<Duration> ReadTimeout(const CtlInvocation& invocation) {
   if (invocation.options.count(kTimeoutOption) == 0) {
     return kDefaultTimeout;
   }
@@ -40,8 +40,11 @@
                        "--timeout");
 }
 
-// The error that a host's answer holds, where it holds one.
-Error ErrorIn(const std::string& body, const std::string& where, int status) {
+// Returns the error in a host's response, or a protocol error if the response
+// contains none.
+Error ParseError(const std::string& body,
+                 const std::string& where,
+                 int status) {
   const Json json = Json::parse(body, nullptr, false);
   if (!json.is_object() || !json.contains("remedy")) {
     return Error{ErrorKind::kProtocol, where,
@@ -99,11 +102,11 @@
                 "admin.listen");
   }
   if (result->status != kStatusOk) {
-    return leaf::new_error(ErrorIn(result->body, where, result->status));
+    return leaf::new_error(ParseError(result->body, where, result->status));
   }
   Json json = Json::parse(result->body, nullptr, false);
   if (json.is_discarded()) {
-    return Fail(ErrorKind::kProtocol, where, "an answer that is not JSON",
+    return Fail(ErrorKind::kProtocol, where, "a response that is not JSON",
                 "check that the address is an administration address of "
                 "damasktack");
   }
@@ -113,8 +116,8 @@
 leaf::result<std::vector<AdminClient>> ClientsFor(
     const CtlInvocation& invocation,
     const std::vector<std::string>& addresses) {
-  BOOST_LEAF_AUTO(token, TokenOf(invocation));
-  BOOST_LEAF_AUTO(timeout, TimeoutOf(invocation));
+  BOOST_LEAF_AUTO(token, ReadToken(invocation));
+  BOOST_LEAF_AUTO(timeout, ReadTimeout(invocation));
   std::vector<AdminClient> clients;
   for (const std::string& it : addresses) {
     BOOST_LEAF_AUTO(address, ParseSocketAddress(it, "host"));
@@ -127,7 +130,7 @@
     const CtlInvocation& invocation) {
   if (invocation.options.count(kHostOption) == 0) {
     return Fail(ErrorKind::kUsage, "--host", "nothing",
-                "name the administration address of a host, as in --host "
+                "specify the administration address of a host, as in --host "
                 "127.0.0.1:8081");
   }
   return ClientsFor(
--- a/main/admin_client.h
+++ b/main/admin_client.h
@@ -12,15 +12,15 @@
 
 enum class AdminVerb : std::uint8_t { kGet, kPost, kDelete };
 
-// Speaks to the administration API of one host.
+// Client of one host's administration API.
 class AdminClient {
  public:
   AdminClient(SocketAddress address, std::string token, Duration timeout);
 
   const SocketAddress& address() const { return address_; }
 
-  // The answer's JSON. Errors: kUnreachable, kUnauthorized, or what the host
-  // itself answered.
+  // Sends a request and returns the JSON of the response. Errors: kUnreachable,
+  // kUnauthorized, kProtocol, or the error reported by the host, as kRefused.
   leaf::result<Json> Call(AdminVerb verb, const std::string& path) const;
 
  private:
@@ -29,13 +29,13 @@
   Duration timeout_;
 };
 
-// Clients for `addresses`, with the token and timeout that the command line
-// or the environment names.
+// Creates clients for `addresses` with the token and timeout given on the
+// command line or in the environment.
 leaf::result<std::vector<AdminClient>> ClientsFor(
     const CtlInvocation& invocation,
     const std::vector<std::string>& addresses);
 
-// The same for the hosts that --host names; at least one.
+// Creates clients for the hosts given by --host; fails if there are none.
 leaf::result<std::vector<AdminClient>> ClientsOf(
     const CtlInvocation& invocation);
 
--- a/main/call_explainer.cc
+++ b/main/call_explainer.cc
@@ -12,15 +12,15 @@
 namespace {
 
 constexpr std::string_view kEvent = "event=";
-// Lines of belief shown for each host: what was last said before the call.
-constexpr std::size_t kMostBeliefs = 8;
+// Maximum number of events shown per host: the latest ones before the call.
+constexpr std::size_t kMaxEventsPerHost = 8;
 
 struct Meaning {
   std::string_view failure;
   std::string_view text;
 };
 
-// The kinds of failure that need more than their name.
+// Explanations of the failures whose name does not say enough.
 constexpr std::array kMeanings = {
     Meaning{"shed",
             "no endpoint could have served it on time, or one refused it and "
@@ -46,7 +46,7 @@
     Meaning{"stopping", "the host was about to stop"},
 };
 
-std::string_view MeaningOf(std::string_view failure) {
+std::string_view FindMeaning(std::string_view failure) {
   const auto it = std::ranges::find(kMeanings, failure, &Meaning::failure);
   return it == kMeanings.end() ? std::string_view() : it->text;
 }
@@ -55,8 +55,8 @@
   std::string text = line.Value("total_ms") + " ms in all, " +
                      line.Value("at_endpoints_ms") + " ms at endpoints";
   const std::string age = line.Value("report_age_ms");
-  const bool has_basis = !age.empty() && age != "-1";
-  if (has_basis) {
+  const bool has_estimate = !age.empty() && age != "-1";
+  if (has_estimate) {
     text += "; expected " + line.Value("expected_ms") +
             " ms by a report that was " + age + " ms old";
   }
@@ -71,7 +71,7 @@
     text += "the endpoint's own answer " + line.Value("status");
   } else {
     text += failure;
-    const std::string_view meaning = MeaningOf(failure);
+    const std::string_view meaning = FindMeaning(failure);
     if (!meaning.empty()) {
       text += ": " + std::string(meaning);
     }
@@ -86,27 +86,28 @@
   return text;
 }
 
-// Beliefs that bear on a call: what it was sent to a cold endpoint by, those of
-// its endpoint, and all that are not about single endpoints or other calls.
-bool BearsOn(const LogLine& belief,
-             const std::string& call,
-             const std::set<std::string>& endpoints) {
-  if (belief.event == "cold-send") {
-    return belief.Value("call") == call;
+// Returns whether a host's event is relevant to a call. Events that concern a
+// single endpoint are relevant only for the call's endpoints, and "cold-send"
+// only for the call itself.
+bool IsRelevant(const LogLine& event,
+                const std::string& call,
+                const std::set<std::string>& endpoints) {
+  if (event.event == "cold-send") {
+    return event.Value("call") == call;
   }
-  return belief.event != "endpoint-state" ||
-         endpoints.contains(belief.Value("endpoint"));
+  return event.event != "endpoint-state" ||
+         endpoints.contains(event.Value("endpoint"));
 }
 
 }  // namespace
 
 std::string LogLine::Value(const std::string& key) const {
-  const std::string mark = " " + key + "=";
-  const std::size_t at = text.find(mark);
+  const std::string prefix = " " + key + "=";
+  const std::size_t at = text.find(prefix);
   if (at == std::string::npos) {
     return {};
   }
-  const std::size_t begin = at + mark.size();
+  const std::size_t begin = at + prefix.size();
   return text.substr(begin, text.find(' ', begin) - begin);
 }
 
@@ -124,9 +125,9 @@
     line.text = text.substr(event);
     line.event =
         line.text.substr(kEvent.size(), line.text.find(' ') - kEvent.size());
-    const std::string named = line.Value("host");
-    if (!named.empty()) {
-      host = named;
+    const std::string host_name = line.Value("host");
+    if (!host_name.empty()) {
+      host = host_name;
     }
     line.host = host;
     lines.push_back(std::move(line));
@@ -139,25 +140,26 @@
   std::ranges::stable_sort(lines, {}, &LogLine::time);
   CallExplanation explanation;
   std::set<std::string> endpoints;
-  std::map<std::string, std::string> last_on;
+  std::map<std::string, std::string> last_line_times;
   for (const LogLine& it : lines) {
     if (it.event == "call-ended" && it.Value("call") == call) {
       explanation.calls.push_back(it);
       explanation.meanings.push_back(Explain(it));
       endpoints.insert(it.Value("endpoint"));
-      last_on[it.host] = it.time;
+      last_line_times[it.host] = it.time;
     }
   }
   std::map<std::string, std::vector<LogLine>> beliefs;
   for (const LogLine& it : lines) {
-    const auto last = last_on.find(it.host);
-    if (it.event != "call-ended" && last != last_on.end() &&
-        it.time <= last->second && BearsOn(it, call, endpoints)) {
+    const auto last = last_line_times.find(it.host);
+    if (it.event != "call-ended" && last != last_line_times.end() &&
+        it.time <= last->second && IsRelevant(it, call, endpoints)) {
       beliefs[it.host].push_back(it);
     }
   }
   for (auto& [host, list] : beliefs) {
-    const std::size_t from = list.size() - std::min(list.size(), kMostBeliefs);
+    const std::size_t from =
+        list.size() - std::min(list.size(), kMaxEventsPerHost);
     explanation.beliefs.insert(explanation.beliefs.end(),
                                list.begin() + static_cast<std::ptrdiff_t>(from),
                                list.end());
--- a/main/call_explainer.h
+++ b/main/call_explainer.h
@@ -7,32 +7,32 @@
 
 namespace damasktack {
 
-// One line of a host's log, as far as an explanation needs it.
+// One parsed line of a host's log.
 struct LogLine {
-  // As written; lines of several hosts sort by it.
+  // Timestamp as written in the log; lines of several hosts are sorted by it.
   std::string time;
-  // The host that wrote it, where the log says so, else the file's name.
+  // Host that wrote the line according to the log, else the name of the file.
   std::string host;
   std::string event;
-  // Everything from "event=" on.
+  // The line from "event=" to its end.
   std::string text;
 
-  // The value of a key; empty where the line has none.
+  // Returns the value of a key; empty if the line has no such key.
   std::string Value(const std::string& key) const;
 };
 
-// What the logs tell of one call.
+// Explanation of one call's outcome from the logs.
 struct CallExplanation {
-  // Lines of the call, in order of time.
+  // The call's lines in chronological order.
   std::vector<LogLine> calls;
-  // A sentence on each of them.
+  // One sentence for each of these lines.
   std::vector<std::string> meanings;
-  // What the hosts that handled it had come to believe in the seconds before:
-  // routes, endpoints, store, peers, starts and stops.
+  // Events logged before the call by the hosts that handled it, which describe
+  // their state: routes, endpoints, store, peers, starts and stops.
   std::vector<LogLine> beliefs;
 };
 
-// The events of one log. Lines that hold none are passed over.
+// Parses the events of one log; lines without an event are skipped.
 std::vector<LogLine> ReadLog(std::istream& in, const std::string& name);
 
 CallExplanation ExplainCall(const std::string& call,
--- a/main/compare_command.cc
+++ b/main/compare_command.cc
@@ -16,63 +16,66 @@
 
 constexpr auto kMissing = "-";
 
-// What one host says, as "name of a fact" to "value", so that hosts can be
-// laid side by side.
-struct HostFacts {
+// State of one host as a map from the name of a property to its value, for
+// comparison with other hosts.
+struct HostProperties {
   std::string address;
-  std::map<std::string, std::string> facts;
+  std::map<std::string, std::string> properties;
 };
 
-// A fact on which hosts differ, with each host's value in their order.
+// A property whose values differ, with the value of each host in the order of
+// the hosts.
 struct Difference {
-  std::string fact;
+  std::string property;
   std::vector<std::string> values;
 };
 
-void AddContracts(const Json& answer, HostFacts& host) {
+void AddContracts(const Json& answer, HostProperties& host) {
   for (const Json& it : answer.value("documents", Json::array())) {
     const std::string name = CellOf(it, "name");
-    host.facts[name + " revision"] = CellOf(it, "revision");
+    host.properties[name + " revision"] = CellOf(it, "revision");
     const Json refused = it.value("refused", Json());
-    host.facts[name + " refused"] = CellOf(refused, "revision");
+    host.properties[name + " refused"] = CellOf(refused, "revision");
   }
   for (const Json& it : answer.value("contracts", Json::array())) {
     const std::string prefix = "contract " + CellOf(it, "customer") + " ";
     const Json flat = it.flatten();
     for (const auto& member : flat.items()) {
-      host.facts[prefix + member.key().substr(1)] = CellOf(flat, member.key());
+      host.properties[prefix + member.key().substr(1)] =
+          CellOf(flat, member.key());
     }
   }
 }
 
-void AddEndpoints(const Json& answer, HostFacts& host) {
+void AddEndpoints(const Json& answer, HostProperties& host) {
   for (const Json& service : answer.value("services", Json::array())) {
     for (const Json& it : service.value("endpoints", Json::array())) {
-      host.facts["endpoint " + CellOf(service, "service") + "/" +
-                 CellOf(it, "endpoint") + " state"] = CellOf(it, "state");
+      host.properties["endpoint " + CellOf(service, "service") + "/" +
+                      CellOf(it, "endpoint") + " state"] = CellOf(it, "state");
     }
   }
 }
 
-void AddPeers(const Json& answer, HostFacts& host) {
+void AddPeers(const Json& answer, HostProperties& host) {
   for (const Json& it : answer.value("peers", Json::array())) {
     const std::string prefix = "peer " + CellOf(it, "host") + " ";
-    host.facts[prefix + "reachable"] = CellOf(it, "reachable");
-    host.facts[prefix + "incarnation"] = CellOf(it, "incarnation");
+    host.properties[prefix + "reachable"] = CellOf(it, "reachable");
+    host.properties[prefix + "incarnation"] = CellOf(it, "incarnation");
   }
 }
 
-void AddStatus(const Json& answer, HostFacts& host) {
-  host.facts["ready"] = CellOf(answer, "ready");
-  host.facts["drained"] = CellOf(answer, "drained");
-  // No host lists itself among its peers; its own word stands in.
+void AddStatus(const Json& answer, HostProperties& host) {
+  host.properties["ready"] = CellOf(answer, "ready");
+  host.properties["drained"] = CellOf(answer, "drained");
+  // A host is not among its own peers, so its own values are taken from its
+  // status.
   const std::string self = "peer " + CellOf(answer, "host") + " ";
-  host.facts[self + "reachable"] = "true";
-  host.facts[self + "incarnation"] = CellOf(answer, "incarnation");
+  host.properties[self + "reachable"] = "true";
+  host.properties[self + "incarnation"] = CellOf(answer, "incarnation");
 }
 
-leaf::result<HostFacts> FactsOf(const AdminClient& client) {
-  HostFacts host{ToString(client.address()), {}};
+leaf::result<HostProperties> FetchState(const AdminClient& client) {
+  HostProperties host{ToString(client.address()), {}};
   BOOST_LEAF_AUTO(status, client.Call(AdminVerb::kGet, "/v1/status"));
   BOOST_LEAF_AUTO(contracts, client.Call(AdminVerb::kGet, "/v1/contracts"));
   BOOST_LEAF_AUTO(endpoints, client.Call(AdminVerb::kGet, "/v1/endpoints"));
@@ -84,20 +87,21 @@
   return host;
 }
 
-std::vector<Difference> Differences(const std::vector<HostFacts>& hosts) {
+std::vector<Difference> FindDifferences(
+    const std::vector<HostProperties>& hosts) {
   std::set<std::string> names;
-  for (const HostFacts& host : hosts) {
-    for (const auto& [fact, value] : host.facts) {
-      names.insert(fact);
+  for (const HostProperties& host : hosts) {
+    for (const auto& [property, value] : host.properties) {
+      names.insert(property);
     }
   }
   std::vector<Difference> differences;
-  for (const std::string& fact : names) {
-    Difference difference{fact, {}};
-    for (const HostFacts& host : hosts) {
-      const auto found = host.facts.find(fact);
-      difference.values.push_back(found == host.facts.end() ? kMissing
-                                                            : found->second);
+  for (const std::string& property : names) {
+    Difference difference{property, {}};
+    for (const HostProperties& host : hosts) {
+      const auto found = host.properties.find(property);
+      difference.values.push_back(
+          found == host.properties.end() ? kMissing : found->second);
     }
     const auto& values = difference.values;
     if (std::ranges::adjacent_find(values, std::ranges::not_equal_to()) !=
@@ -108,7 +112,7 @@
   return differences;
 }
 
-void PrintJson(const std::vector<HostFacts>& hosts,
+void PrintJson(const std::vector<HostProperties>& hosts,
                const std::vector<Difference>& differences,
                std::ostream& out) {
   Json list = Json::array();
@@ -117,12 +121,12 @@
     for (std::size_t n = 0; n < hosts.size(); ++n) {
       values[hosts[n].address] = it.values[n];
     }
-    list.push_back(Json{{"fact", it.fact}, {"values", values}});
+    list.push_back(Json{{"fact", it.property}, {"values", values}});
   }
   out << Json{{"differences", list}}.dump(2) << "\n";
 }
 
-void PrintText(const std::vector<HostFacts>& hosts,
+void PrintText(const std::vector<HostProperties>& hosts,
                const std::vector<Difference>& differences,
                std::ostream& out) {
   if (differences.empty()) {
@@ -130,12 +134,12 @@
     return;
   }
   std::vector<std::string> titles{"FACT"};
-  for (const HostFacts& it : hosts) {
+  for (const HostProperties& it : hosts) {
     titles.push_back(it.address);
   }
   TextTable table(std::move(titles));
   for (const Difference& it : differences) {
-    std::vector<std::string> cells{it.fact};
+    std::vector<std::string> cells{it.property};
     cells.insert(cells.end(), it.values.begin(), it.values.end());
     table.AddRow(std::move(cells));
   }
@@ -144,12 +148,12 @@
 
 leaf::result<CtlExit> RunCompare(const CtlInvocation& invocation) {
   BOOST_LEAF_AUTO(clients, ClientsFor(invocation, invocation.arguments));
-  std::vector<HostFacts> hosts;
+  std::vector<HostProperties> hosts;
   for (const AdminClient& it : clients) {
-    BOOST_LEAF_AUTO(host, FactsOf(it));
+    BOOST_LEAF_AUTO(host, FetchState(it));
     hosts.push_back(std::move(host));
   }
-  const std::vector<Difference> differences = Differences(hosts);
+  const std::vector<Difference> differences = FindDifferences(hosts);
   if (invocation.json) {
     PrintJson(hosts, differences, invocation.out);
   } else {
--- a/main/compare_command.h
+++ b/main/compare_command.h
@@ -5,7 +5,7 @@
 
 namespace damasktack {
 
-// Shows what differs between hosts that should agree.
+// Shows the differences between hosts that should have the same state.
 extern const CtlCommand kCompareCommand;
 
 }  // namespace damasktack
--- a/main/contract_command.cc
+++ b/main/contract_command.cc
@@ -17,14 +17,14 @@
 namespace po = boost::program_options;
 
 constexpr auto kServicesOption = "services";
-// A file is not published, and so has no revision yet.
+// A file that is not published has no revision.
 constexpr Revision kNoRevision = 0;
 
 leaf::result<Document> ReadDocument(DocumentName name,
                                     const std::string& path) {
   BOOST_LEAF_AUTO(text, ReadWholeFile(path,
-                                      "name an existing file with published "
-                                      "documents"));
+                                      "specify an existing file with a "
+                                      "document"));
   return Document{name, kNoRevision, std::move(text)};
 }
 
@@ -38,10 +38,10 @@
   return ParseServices(document);
 }
 
-// What kind of document a file holds, by its only member.
-leaf::result<DocumentName> KindOf(const std::string& path) {
-  BOOST_LEAF_AUTO(text,
-                  ReadWholeFile(path, "name an existing file with a document"));
+// Returns which document a file holds, determined by its only member.
+leaf::result<DocumentName> DetectDocumentName(const std::string& path) {
+  BOOST_LEAF_AUTO(
+      text, ReadWholeFile(path, "specify an existing file with a document"));
   BOOST_LEAF_AUTO(json, ParseJson(text, path));
   for (std::size_t n = 0; n < kDocumentCount; ++n) {
     const auto name = static_cast<DocumentName>(n);
@@ -53,10 +53,10 @@
               "write an object with one member: contracts, services or hosts");
 }
 
-// How many entries the sound document holds.
+// Checks a file and returns the number of its entries.
 leaf::result<std::size_t> CheckFile(const std::string& path,
                                     const CtlInvocation& invocation) {
-  BOOST_LEAF_AUTO(kind, KindOf(path));
+  BOOST_LEAF_AUTO(kind, DetectDocumentName(path));
   BOOST_LEAF_AUTO(document, ReadDocument(kind, path));
   switch (kind) {
     case DocumentName::kServices: {
@@ -80,9 +80,9 @@
   return contracts.contracts.size();
 }
 
-// The verdict on one file; faults are printed for all files, not only the
-// first.
-Json Verdict(const std::string& path, const CtlInvocation& invocation) {
+// Checks one file and prints its error. Returns the result as JSON, so that the
+// errors of all files are printed and not only the first.
+Json CheckAndReport(const std::string& path, const CtlInvocation& invocation) {
   return Try(
       [&]() -> leaf::result<Json> {
         BOOST_LEAF_AUTO(entries, CheckFile(path, invocation));
@@ -102,20 +102,20 @@
 }
 
 leaf::result<CtlExit> RunCheck(const CtlInvocation& invocation) {
-  Json verdicts = Json::array();
+  Json results = Json::array();
   CtlExit code = CtlExit::kDone;
   for (const std::string& path : invocation.arguments) {
-    const Json verdict = Verdict(path, invocation);
-    verdicts.push_back(verdict);
-    if (!verdict["sound"].get<bool>()) {
+    const Json result = CheckAndReport(path, invocation);
+    results.push_back(result);
+    if (!result["sound"].get<bool>()) {
       code = CtlExit::kFault;
     } else if (!invocation.json) {
-      invocation.out << path << ": sound, " << verdict["entries"]
+      invocation.out << path << ": sound, " << result["entries"]
                      << " entries\n";
     }
   }
   if (invocation.json) {
-    invocation.out << Json{{"files", verdicts}}.dump(2) << "\n";
+    invocation.out << Json{{"files", results}}.dump(2) << "\n";
   }
   return code;
 }
@@ -143,7 +143,7 @@
 void PrintChanges(const std::vector<ContractChange>& changes,
                   std::ostream& out) {
   if (changes.empty()) {
-    out << "no customer notices a change\n";
+    out << "no customer is affected\n";
     return;
   }
   TextTable table({"CUSTOMER", "CHANGE", "FIELD", "BEFORE", "AFTER"});
--- a/main/contract_command.h
+++ b/main/contract_command.h
@@ -5,7 +5,7 @@
 
 namespace damasktack {
 
-// Commands for documents that are not published yet.
+// Commands that check and compare documents before they are published.
 extern const CtlCommand kContractCheckCommand;
 extern const CtlCommand kContractDiffCommand;
 
--- a/main/ctl.cc
+++ b/main/ctl.cc
@@ -16,7 +16,7 @@
 
 constexpr auto kArgument = "argument";
 
-CtlExit ExitOf(ErrorKind kind) {
+CtlExit ExitCodeFor(ErrorKind kind) {
   switch (kind) {
     case ErrorKind::kUsage:
       return CtlExit::kUsage;
@@ -31,33 +31,35 @@
   }
 }
 
-bool AsksForJson(const std::vector<std::string>& args) {
+bool HasJsonOption(const std::vector<std::string>& args) {
   return std::ranges::find(args, "--json") != args.end();
 }
 
-std::size_t WordsIn(std::string_view words) {
+std::size_t CountWords(std::string_view words) {
   return 1 + static_cast<std::size_t>(std::ranges::count(words, ' '));
 }
 
 leaf::result<po::variables_map> ParseOptions(
     const CtlCommand& command,
     const std::vector<std::string>& args) {
-  po::options_description all = OptionsOf(command);
-  all.add_options()(kArgument, po::value<std::vector<std::string>>());
+  po::options_description options = OptionsOf(command);
+  options.add_options()(kArgument, po::value<std::vector<std::string>>());
   po::positional_options_description positional;
   positional.add(kArgument, -1);
   po::variables_map given;
-  std::string problem;
+  std::string message;
   try {
-    po::store(
-        po::command_line_parser(args).options(all).positional(positional).run(),
-        given);
+    po::store(po::command_line_parser(args)
+                  .options(options)
+                  .positional(positional)
+                  .run(),
+              given);
     po::notify(given);
     return given;
-  } catch (const po::error& usage) {
-    problem = usage.what();
+  } catch (const po::error& exception) {
+    message = exception.what();
   }
-  return Fail(ErrorKind::kUsage, std::string(command.words), problem,
+  return Fail(ErrorKind::kUsage, std::string(command.words), message,
               "see damasktackctl help " + std::string(command.words));
 }
 
@@ -93,7 +95,7 @@
     out << Json{{"error", RenderError(error)}}.dump(2) << "\n";
   }
   err << "damasktackctl: " << error << "\n";
-  return ExitOf(error.kind);
+  return ExitCodeFor(error.kind);
 }
 
 }  // namespace
@@ -116,12 +118,13 @@
           return Fail(ErrorKind::kUsage, "command line", args[0],
                       "use a command that damasktackctl help lists");
         }
-        const auto words = static_cast<std::ptrdiff_t>(WordsIn(command->words));
+        const auto words =
+            static_cast<std::ptrdiff_t>(CountWords(command->words));
         return RunCommand(*command, {args.begin() + words, args.end()}, out,
                           err);
       },
       [&](const Error& error) {
-        return Report(error, AsksForJson(args), out, err);
+        return Report(error, HasJsonOption(args), out, err);
       });
   return static_cast<int>(code);
 }
--- a/main/ctl.h
+++ b/main/ctl.h
@@ -7,18 +7,18 @@
 
 namespace damasktack {
 
-// Exit codes of `damasktackctl`; scripts may rely on them.
+// Exit codes of `damasktackctl`; scripts rely on them.
 enum class CtlExit : int {
   kDone = 0,
-  // A file did not pass its check, or a comparison found differences.
+  // A file is invalid, or a comparison found differences.
   kFault = 1,
   kUsage = 2,
-  // A host could not be asked, or refused.
+  // A host could not be reached, or it rejected the request.
   kHost = 3,
 };
 
-// Runs the operators' tool with the arguments after its name; returns the
-// process's exit code.
+// Runs the operators' tool with the command line arguments after the program
+// name. Returns the exit code of the process.
 int RunCtl(const std::vector<std::string>& args,
            std::ostream& out,
            std::ostream& err);
--- a/main/ctl_command.h
+++ b/main/ctl_command.h
@@ -15,20 +15,21 @@
 
 namespace damasktack {
 
-// One run of a command: what was given, and where its output goes.
+// One invocation of a command: its arguments, its options and its output
+// streams.
 struct CtlInvocation {
-  // After the command's own words.
+  // Positional arguments after the command's name.
   std::vector<std::string> arguments;
   boost::program_options::variables_map options;
-  // Output for programs instead of people.
+  // Whether to print JSON for programs instead of text for people.
   bool json = false;
   std::ostream& out;
   std::ostream& err;
 };
 
-// How a command learns which hosts to ask.
+// How a command is given the hosts to query.
 enum class CtlHosts : std::uint8_t {
-  // It asks none.
+  // It queries no hosts.
   kNone,
   // By the option --host.
   kByOption,
@@ -38,23 +39,23 @@
 
 inline constexpr std::size_t kAnyNumber = static_cast<std::size_t>(-1);
 
-// One subcommand. Usage, help, completion and the manual page are made from
-// these members.
+// One subcommand. Usage, help, shell completion and the manual page are
+// generated from its members.
 struct CtlCommand {
-  // One or two words, as in "contract check".
+  // Name of one or two words, as in "contract check".
   std::string_view words;
-  // As in "FILE...".
+  // Placeholders of the arguments, as in "FILE...".
   std::string_view arguments;
   std::string_view summary;
-  // For the manual: what it does, prints and returns.
+  // Text for the manual: what the command does, prints and returns.
   std::string_view description;
   std::size_t fewest_arguments = 0;
   std::size_t most_arguments = 0;
   CtlHosts hosts = CtlHosts::kNone;
-  // Options of its own; null for none.
+  // Adds the command's own options; null if it has none.
   void (*add_options)(boost::program_options::options_description& options) =
       nullptr;
-  // Prints its result; an error is printed by the caller.
+  // Runs the command and prints its result; the caller prints an error.
   leaf::result<CtlExit> (*run)(const CtlInvocation& invocation) = nullptr;
 };
 
--- a/main/ctl_commands.cc
+++ b/main/ctl_commands.cc
@@ -18,7 +18,7 @@
 
 namespace po = boost::program_options;
 
-// Every line of the tool's usage comes from here.
+// Usage texts are generated from this list.
 const std::array kCommands = {
     kContractCheckCommand, kContractDiffCommand,
     kSettingsCheckCommand, kSettingsDescribeCommand,
--- a/main/ctl_commands.h
+++ b/main/ctl_commands.h
@@ -9,13 +9,13 @@
 
 namespace damasktack {
 
-// Every subcommand, in the order that help shows them.
+// Returns all subcommands in the order in which help lists them.
 std::span<const CtlCommand> CtlCommands();
 
-// The command that the arguments begin with; null where there is none.
+// Returns the command that the arguments start with, or null if there is none.
 const CtlCommand* FindCtlCommand(const std::vector<std::string>& args);
 
-// The options that a command takes: those of all commands and its own.
+// Returns the options of a command: those common to all commands and its own.
 boost::program_options::options_description OptionsOf(
     const CtlCommand& command);
 
--- a/main/daemon.cc
+++ b/main/daemon.cc
@@ -9,14 +9,15 @@
 
 namespace {
 
-constexpr Duration kDrainRelay = std::chrono::milliseconds(50);
+constexpr Duration kDrainRelayInterval = std::chrono::milliseconds(50);
 constexpr Duration kStopPoll = std::chrono::milliseconds(5);
-// Without any caller's connection for this long, the stop is done.
-constexpr Duration kQuietBeforeEnd = std::chrono::milliseconds(50);
+// The stop is complete when there has been no caller connection for this long.
+constexpr Duration kIdleTimeBeforeStop = std::chrono::milliseconds(50);
 
-// Ends that no keeper has acknowledged and buckets that nobody has taken over
-// get this long; after it their keys are refused or answered as unknown.
-constexpr Duration kHandoverTime = std::chrono::seconds(3);
+// Time for the handover of claims at a stop: for outcomes that no keeper has
+// acknowledged and for buckets that no other host has taken over. After it
+// their keys are rejected or answered as unknown.
+constexpr Duration kHandoverTimeout = std::chrono::seconds(3);
 
 FleetNodeOptions MakeFleetOptions(const Settings& settings,
                                   Incarnation incarnation,
@@ -62,7 +63,8 @@
 
 Daemon::~Daemon() {
   stopping_ = true;
-  // Calls that are cut here still settle with the fleet's gates.
+  // Calls that are aborted here still report their outcome to the limit and
+  // claim gates.
   callers_.Stop();
   ended_ = true;
   if (drain_relay_.joinable()) {
@@ -103,7 +105,8 @@
         PutInForce();
         return {};
       },
-      // Cannot be: the fleet takes only what passed the same checks.
+      // Cannot happen: the fleet accepts only documents that passed the same
+      // checks.
       [&](const Error& error) {
         spdlog::error("event=document-lost document={} {}",
                       ToString(document.name), ToString(error));
@@ -122,7 +125,8 @@
   }
 }
 
-// Hosts that have not called an endpoint lately learn from those that have.
+// Reports draining endpoints to the peers, so that hosts which have not called
+// these endpoints recently learn of it.
 void Daemon::PassOnDrains() {
   while (!ended_) {
     for (const auto& [service, dispatcher] : state_.dispatchers()) {
@@ -130,7 +134,7 @@
         fleet_.PassOnDrain({service, it});
       }
     }
-    std::this_thread::sleep_for(kDrainRelay);
+    std::this_thread::sleep_for(kDrainRelayInterval);
   }
 }
 
@@ -148,7 +152,7 @@
 }
 
 void Daemon::WaitForHandover() const {
-  const TimePoint last = Clock::now() + kHandoverTime;
+  const TimePoint last = Clock::now() + kHandoverTimeout;
   while (!claims_.MayEnd() && Clock::now() < last) {
     std::this_thread::sleep_for(kStopPoll);
   }
@@ -167,13 +171,14 @@
   std::this_thread::sleep_for(settings_.stop.lag);
   callers_.BeginStopping();
   const TimePoint last = Clock::now() + settings_.stop.longest;
-  TimePoint quiet_since = Clock::now();
-  while (Clock::now() < last && Clock::now() - quiet_since < kQuietBeforeEnd) {
+  TimePoint idle_since = Clock::now();
+  while (Clock::now() < last &&
+         Clock::now() - idle_since < kIdleTimeBeforeStop) {
     std::this_thread::sleep_for(kStopPoll);
-    // A connection in the kernel's queue is accepted and served too; it would
-    // be reset if the end came between two of them.
+    // Connections in the kernel's accept queue are accepted and served too;
+    // ending at a moment without an open connection would reset them.
     if (callers_.connections() > 0) {
-      quiet_since = Clock::now();
+      idle_since = Clock::now();
     }
   }
   callers_.Stop();
--- a/main/daemon.h
+++ b/main/daemon.h
@@ -13,14 +13,15 @@
 
 namespace damasktack {
 
-// One entry host: everything a running `damasktack` consists of.
+// The load balancer daemon of one host, for deployments that publish documents.
 class Daemon : public AdminSource, private FleetNodeEvents {
  public:
   explicit Daemon(Settings settings);
   ~Daemon() override;
 
   leaf::result<void> Start();
-  // Graceful stop: readiness off, the lag, every call in flight, then the end.
+  // Stops gracefully: reports "not ready", serves on for the configured lag,
+  // finishes all calls in flight, then ends.
   void Stop();
 
   std::uint16_t caller_port() const { return callers_.port(); }
@@ -28,7 +29,7 @@
   const FleetLimitGate& limits() const { return limits_; }
   const FleetClaimGate& claims() const { return claims_; }
 
-  // AdminSource; in daemon_admin.cc.
+  // Implementation of AdminSource, in daemon_admin.cc.
   bool Ready() const override;
   std::string Metrics() const override;
   HostReport Host() const override;
@@ -65,7 +66,7 @@
   std::atomic<bool> stopping_ = false;
   std::atomic<bool> ended_ = false;
   std::atomic<bool> drained_ = false;
-  // Last, so that nothing it tells comes too early or too late.
+  // Declared last, so that it calls back only while all other members exist.
   FleetNode fleet_;
   std::thread drain_relay_;
 };
--- a/main/daemon_admin.cc
+++ b/main/daemon_admin.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Adds up what one customer's callers were told, over its classes.
+// Adds the outcomes of one class of calls to the customer's totals.
 void AddOutcomes(const CallMetrics::SeriesReport& series,
                  CustomerReport& customer) {
   const auto count = [&](Outcome outcome) {
--- a/main/daemon_options.h
+++ b/main/daemon_options.h
@@ -8,7 +8,8 @@
 // Exit codes of the daemon.
 enum class DaemonExit : int { kDone = 0, kFailed = 1, kBadSettings = 2 };
 
-// The daemon's command line; its manual page is made from it as well.
+// Returns the daemon's command line options; the manual page is generated from
+// them too.
 boost::program_options::options_description DaemonOptions();
 
 }  // namespace damasktack
--- a/main/damasktack_main.cc
+++ b/main/damasktack_main.cc
@@ -34,10 +34,11 @@
 
 constexpr int kExitOk = static_cast<int>(DaemonExit::kDone);
 
-// Blocks the signals in this thread and all later ones, so that the one that
-// waits for them gets them. Called before anything else: a signal that came
-// while the host started or stopped was taken by a thread that did not block it
-// and ended the process, with calls in hand.
+// Blocks the signals in this thread and in all threads started later, so that
+// only the thread that waits for them receives them. Must be called before
+// anything else: a signal that arrived while the host was starting or stopping
+// was otherwise delivered to a thread that did not block it and ended the
+// process with calls in flight.
 sigset_t BlockStopSignals() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -49,33 +50,35 @@
   return signals;
 }
 
-// An unsound chart ends the process here and not at the first call.
+// Binds the state charts at the start, so that an invalid chart ends the
+// process here and not at the first call.
 void BindCharts() {
   damasktack::GetHostChart();
   damasktack::GetEndpointChart();
   damasktack::GetCallChart();
 }
 
-// Settings that cannot be read leave the running ones in force.
+// Reloads the settings; if they are invalid the running ones stay in force.
 void ReloadFrom(const std::string& path, damasktack::StoreDaemon& daemon) {
-  const auto fault =
+  const auto reload_error =
       damasktack::FaultOf([&]() -> damasktack::leaf::result<void> {
         BOOST_LEAF_AUTO(settings, damasktack::LoadSettings(path));
         daemon.Reload(settings);
         return {};
       });
-  if (fault) {
-    spdlog::error("event=reload-refused {}", damasktack::ToString(*fault));
+  if (reload_error) {
+    spdlog::error("event=reload-refused {}",
+                  damasktack::ToString(*reload_error));
   }
 }
 
-// The settings of this kind of daemon hold nothing that a running one takes
-// in; the signal must not end it all the same.
+// This kind of daemon has no settings that can be changed while it runs, but
+// the signal must not end it.
 void ReloadFrom(const std::string& path, damasktack::Daemon& /*daemon*/) {
   spdlog::info("event=reload-ignored settings={}", path);
 }
 
-// Returns when the process is to end.
+// Returns when the process is to stop.
 template <typename Host>
 void ServeUntilStopped(const sigset_t& signals,
                        const std::string& path,
@@ -89,9 +92,9 @@
   daemon.Stop();
 }
 
-// Lines wait in a bounded queue for a thread of their own, and the oldest are
-// dropped where standard output takes no more: a reader that has stalled must
-// not delay a call.
+// Logs through a bounded queue and a separate thread, so that a stalled reader
+// of standard output does not delay calls. When the queue is full, the oldest
+// lines are dropped.
 void LogWithoutBlocking() {
   constexpr std::size_t kQueuedLines = 4096;
   spdlog::init_thread_pool(kQueuedLines, 1);
@@ -99,14 +102,15 @@
       spdlog::create_async_nb<spdlog::sinks::stdout_sink_mt>("damasktack"));
 }
 
-// Writes the last lines. Where standard output takes no more, the logging
-// thread is stuck in its write and would never be joined: the process stayed
-// until the platform killed it. Nothing else is left to do by now, so it ends
-// without these lines.
+// Writes the remaining lines and ends logging. If standard output is blocked,
+// the logging thread is stuck in its write and can never be joined, and the
+// process used to stay until the platform killed it. Therefore the process
+// exits without these lines after a timeout; nothing else is left to do by
+// then.
 void EndLogging(int code) {
-  static constexpr std::chrono::milliseconds kForLastLines(300);
+  static constexpr std::chrono::milliseconds kFlushTimeout(300);
   std::thread([code] {
-    std::this_thread::sleep_for(kForLastLines);
+    std::this_thread::sleep_for(kFlushTimeout);
     std::_Exit(code);
   }).detach();
   spdlog::shutdown();
@@ -144,35 +148,35 @@
 int main(int argc, char** argv) {
   const sigset_t signals = BlockStopSignals();
   const po::options_description options = damasktack::DaemonOptions();
-  po::variables_map given;
+  po::variables_map arguments;
   try {
-    po::store(po::parse_command_line(argc, argv, options), given);
-    po::notify(given);
-  } catch (const po::error& usage) {
+    po::store(po::parse_command_line(argc, argv, options), arguments);
+    po::notify(arguments);
+  } catch (const po::error& exception) {
     return Report(Error{damasktack::ErrorKind::kUsage, "command line",
-                        usage.what(), "see damasktack --help"},
+                        exception.what(), "see damasktack --help"},
                   DaemonExit::kBadSettings);
   }
-  if (given.count("help") > 0) {
+  if (arguments.count("help") > 0) {
     std::cout << options;
     return kExitOk;
   }
-  if (given.count("version") > 0) {
+  if (arguments.count("version") > 0) {
     std::cout << "damasktack " << damasktack::kVersion << "\n";
     return kExitOk;
   }
   BindCharts();
   return damasktack::Try(
       [&]() -> damasktack::leaf::result<int> {
-        if (given.count("settings") == 0) {
+        if (arguments.count("settings") == 0) {
           return damasktack::Fail(damasktack::ErrorKind::kUsage, "--settings",
                                   "nothing",
                                   "name the settings file with --settings "
                                   "FILE; examples/ holds one to begin with");
         }
-        const auto path = given["settings"].as<std::string>();
+        const auto path = arguments["settings"].as<std::string>();
         BOOST_LEAF_AUTO(settings, damasktack::LoadSettings(path));
-        if (given.count("check-settings") > 0) {
+        if (arguments.count("check-settings") > 0) {
           std::cout << "settings are sound: " << path << "\n";
           return kExitOk;
         }
--- a/main/drain_command.cc
+++ b/main/drain_command.cc
@@ -17,11 +17,11 @@
   options.add_options()(kUndoOption, "give the readiness back");
 }
 
-// Prints `cell_key` of each answer under `title`.
-leaf::result<CtlExit> Order(const CtlInvocation& invocation,
-                            AdminVerb verb,
-                            const std::string& path,
-                            const std::vector<std::string>& keys) {
+// Sends a request to all hosts and prints the members `keys` of each response.
+leaf::result<CtlExit> SendAndPrint(const CtlInvocation& invocation,
+                                   AdminVerb verb,
+                                   const std::string& path,
+                                   const std::vector<std::string>& keys) {
   BOOST_LEAF_AUTO(clients, ClientsOf(invocation));
   const HostAnswers answers = AskAll(clients, verb, path);
   if (invocation.json) {
@@ -44,14 +44,14 @@
 leaf::result<CtlExit> RunDrain(const CtlInvocation& invocation) {
   const bool undo = invocation.options.count(kUndoOption) > 0;
   const AdminVerb verb = undo ? AdminVerb::kDelete : AdminVerb::kPost;
-  return Order(invocation, verb, "/v1/drain",
-               {"host", "ready", "drained", "calls_in_flight"});
+  return SendAndPrint(invocation, verb, "/v1/drain",
+                      {"host", "ready", "drained", "calls_in_flight"});
 }
 
 leaf::result<CtlExit> RunGone(const CtlInvocation& invocation) {
   const std::string path =
       "/v1/hosts/" + invocation.arguments.front() + "/gone";
-  return Order(invocation, AdminVerb::kPost, path, {"gone"});
+  return SendAndPrint(invocation, AdminVerb::kPost, path, {"gone"});
 }
 
 }  // namespace
--- a/main/drain_command.h
+++ b/main/drain_command.h
@@ -5,7 +5,7 @@
 
 namespace damasktack {
 
-// Commands that change something at a host.
+// Commands that change the state of hosts.
 extern const CtlCommand kDrainCommand;
 extern const CtlCommand kGoneCommand;
 
--- a/main/explain_command.cc
+++ b/main/explain_command.cc
@@ -17,7 +17,7 @@
     std::ifstream in(path);
     if (!in) {
       return Fail(ErrorKind::kFileUnreadable, path,
-                  "a file that cannot be opened", "name a host's log");
+                  "a file that cannot be opened", "specify the log of a host");
     }
     for (LogLine& it :
          ReadLog(in, std::filesystem::path(path).stem().string())) {
@@ -54,7 +54,7 @@
                           .dump(2)
                    << "\n";
   } else if (found.calls.empty()) {
-    invocation.out << "No line on " << call
+    invocation.out << "No log line for " << call
                    << ": it simply succeeded, it reached none of these hosts, "
                       "or its line was left out in a burst (left_out in later "
                       "lines).\n";
--- a/main/explain_command.h
+++ b/main/explain_command.h
@@ -5,7 +5,7 @@
 
 namespace damasktack {
 
-// Tells from hosts' logs what became of a call, and why.
+// Explains a call's outcome from the logs of hosts.
 extern const CtlCommand kExplainCommand;
 
 }  // namespace damasktack
--- a/main/file_text.cc
+++ b/main/file_text.cc
@@ -10,17 +10,17 @@
   std::ifstream file(path);
   std::ostringstream text;
   text << file.rdbuf();
-  // A folder opens like a file and fails only when it is read.
+  // Opening a directory succeeds; only reading it fails.
   if (!file || (text.str().empty() && file.bad())) {
     return Fail(ErrorKind::kFileUnreadable, path.empty() ? "file" : path,
-                "no readable file", remedy);
+                "the file cannot be read", remedy);
   }
   return text.str();
 }
 
 leaf::result<std::string> ReadTokenFile(const std::string& path) {
   BOOST_LEAF_AUTO(text, ReadWholeFile(path,
-                                      "name a file that holds the token "
+                                      "specify a file that holds the token "
                                       "and that this user may read"));
   std::istringstream words(text);
   std::string token;
--- a/main/file_text.h
+++ b/main/file_text.h
@@ -7,11 +7,12 @@
 
 namespace damasktack {
 
-// Reads a whole file. `remedy` says what to do where it cannot be read.
+// Reads a whole file. `remedy` is the remedy of the error if it cannot be read.
 leaf::result<std::string> ReadWholeFile(const std::string& path,
                                         const std::string& remedy);
 
-// Reads a token from a file's first line; white space around it is dropped.
+// Reads a token from a file: its first word, without the surrounding white
+// space.
 leaf::result<std::string> ReadTokenFile(const std::string& path);
 
 }  // namespace damasktack
--- a/main/fleet_metrics.cc
+++ b/main/fleet_metrics.cc
@@ -8,14 +8,15 @@
 
 namespace {
 
-// One series; `label` is empty or `{name="value"}`.
+// One sample; `label` is empty or `{name="value"}`.
 struct Sample {
   std::string_view name;
   std::string_view label;
   std::uint64_t value;
 };
 
-// The type stands once above all samples of a name, which follow each other.
+// Writes samples with one TYPE line per metric; samples of the same metric must
+// be consecutive.
 void Render(std::string_view type,
             std::span<const Sample> samples,
             std::ostream& out) {
--- a/main/fleet_metrics.h
+++ b/main/fleet_metrics.h
@@ -9,11 +9,11 @@
 
 namespace damasktack {
 
-// What this host counts of its part in the fleet, in the Prometheus text
-// format: `damasktack_peer_` for links and frames, `damasktack_fleet_` for
-// messages and this host's role, `damasktack_documents_` for what came of
-// offered documents, `damasktack_platform_` for reads. All counters start at 0
-// with the process and are there from the first answer on.
+// Renders this host's fleet metrics in the Prometheus text format:
+// `damasktack_peer_` for links and frames, `damasktack_fleet_` for messages and
+// this host's role, `damasktack_documents_` for the results of received
+// documents, `damasktack_platform_` for reads. All counters start at 0 with the
+// process and are present from the first response on.
 std::string RenderFleetMetrics(const FleetState& state,
                                const TransportCounters& peers,
                                const PlatformReaderCounters& reader);
--- a/main/fleet_node.cc
+++ b/main/fleet_node.cc
@@ -12,10 +12,10 @@
 
 namespace {
 
-// Frames that the goodbye left behind get this long to leave.
-constexpr Duration kGoodbyeTime = std::chrono::milliseconds(50);
+// Time for sending the frames that are queued after the leave message.
+constexpr Duration kLeaveFlushTime = std::chrono::milliseconds(50);
 
-// Stands for the links of a host that runs alone.
+// Transport of a host that runs without peers; sends nothing.
 class NoTransport : public PeerTransport {
  public:
   void SetPeers(std::vector<PeerAddress> /*peers*/) override {}
@@ -27,7 +27,7 @@
 std::uint64_t DrawRandom() {
   std::random_device device;
   const std::uint64_t high = device();
-  // 0 means "not known".
+  // Never returns 0, which means "unknown".
   return ((high << 32) | device()) | 1;
 }
 
@@ -85,15 +85,15 @@
 }
 
 leaf::result<void> FleetNode::Start() {
-  static NoTransport alone;
-  PeerTransport* transport = &alone;
+  static NoTransport no_transport;
+  PeerTransport* transport = &no_transport;
   if (options_.fleet.enabled) {
     transport_ = std::make_unique<WebsocketTransport>(
         MakeTransportOptions(options_, incarnation_), loop_);
     if (const std::error_code ec = transport_->Start()) {
       return Fail(ErrorKind::kUnreachable, "fleet.listen",
                   ToString(options_.fleet.listen) + ": " + ec.message(),
-                  "name an address of this host and a free port");
+                  "use an address of this host and a free port");
     }
     transport = transport_.get();
   }
@@ -132,7 +132,7 @@
   loop_.Post([](FleetCore& core, TimePoint) { core.SayGoodbye(); });
   loop_.Stop();
   if (transport_) {
-    std::this_thread::sleep_for(kGoodbyeTime);
+    std::this_thread::sleep_for(kLeaveFlushTime);
     transport_->Stop();
   }
 }
@@ -174,8 +174,8 @@
       reader_.SetKnown(name, document->revision);
     }
     const auto& refusal = state.refused[n];
-    const auto& told = told_.refused[n];
-    if (refusal && (!told || told->version != refusal->version)) {
+    const auto& reported = told_.refused[n];
+    if (refusal && (!reported || reported->version != refusal->version)) {
       events_.OnRefused(name, *refusal);
     }
   }
--- a/main/fleet_node.h
+++ b/main/fleet_node.h
@@ -15,7 +15,8 @@
 struct FleetNodeOptions {
   HostId host;
   ZoneId zone;
-  // Of this process, from DrawIncarnation; drawn where it is 0.
+  // Incarnation of this process from DrawIncarnation; drawn by the node if it
+  // is 0.
   Incarnation incarnation = 0;
   FleetGates gates;
   SocketAddress platform;
@@ -25,45 +26,50 @@
 
 Incarnation DrawIncarnation();
 
-// Hears of the documents that the fleet agreed on, on the fleet's thread.
+// Receives the documents that the fleet has agreed on. Called on the fleet
+// loop's thread.
 class FleetNodeEvents {
  public:
   virtual ~FleetNodeEvents() = default;
 
   virtual void OnInForce(const Document& document) = 0;
   virtual void OnRefused(DocumentName name, const DocumentRefusal& refusal) = 0;
-  // A peer has seen this endpoint drain.
+  // A peer reports that an endpoint is draining.
   virtual void OnHeardDrain(const DrainSighting& sighting) = 0;
 };
 
-// This host's membership in the fleet: links, the fleet loop and the platform's
-// reader, wired together.
+// This host's membership in the fleet. Connects the links to peers, the fleet
+// loop and the reader of the platform.
 class FleetNode : private FleetLoopEvents, private PlatformReaderEvents {
  public:
   FleetNode(const FleetNodeOptions& options, FleetNodeEvents& events);
   ~FleetNode() override;
 
   leaf::result<void> Start();
-  // The graceful stop begins: peers hear it, others take over the reading.
+  // Starts the graceful stop: informs the peers, of which others take over
+  // reading the platform.
   void Leave();
-  // Tells the peers that an endpoint has told this host that it drains.
+  // Informs the peers that an endpoint has reported to this host that it is
+  // draining.
   void PassOnDrain(const DrainSighting& sighting);
-  // An operator has made sure that the last known process of `host` has ended;
-  // the other hosts hear it from this one.
+  // Records that an operator has verified that the last known process of `host`
+  // has ended. This host informs the other hosts.
   void ConfirmGone(const HostId& host);
-  // Says goodbye and ends links, loop and reader.
+  // Sends a leave message to the peers and stops links, loop and reader.
   void Stop();
 
-  // Whether this host has checked what it believes; see FleetLoop::IsCurrent.
+  // Returns whether this host's state of the fleet has been verified; see
+  // FleetLoop::IsCurrent.
   bool IsReady() const { return loop_.IsCurrent(Clock::now()); }
   std::shared_ptr<const FleetState> state() const { return loop_.state(); }
   FleetLoop& loop() { return loop_; }
   Incarnation incarnation() const { return incarnation_; }
-  // Where peers reach this host; 0 where it runs alone.
+  // Returns the port at which peers connect to this host; 0 if it runs without
+  // peers.
   std::uint16_t peer_port() const;
   TransportCounters transport_counters() const;
   PlatformReaderCounters reader_counters() const { return reader_.counters(); }
-  // For tests of partitions only.
+  // Only for tests of partitions.
   void CutLinksTo(const std::vector<HostId>& hosts);
 
  private:
@@ -80,11 +86,11 @@
   FleetNodeEvents& events_;
   const Incarnation incarnation_;
   FleetLoop loop_;
-  // Null where this host runs alone.
+  // Null if this host runs without peers.
   std::unique_ptr<WebsocketTransport> transport_;
   HttpPlatformSource source_;
   PlatformReader reader_;
-  // What was told last; only the loop's thread uses it.
+  // Last state reported to `events_`; used only on the loop's thread.
   FleetState told_;
   bool stopped_ = false;
 };
--- a/main/fleet_settings.cc
+++ b/main/fleet_settings.cc
@@ -33,7 +33,7 @@
     return Fail(ErrorKind::kOutOfRange, "fleet.silence",
                 FormatDuration(fleet.silence),
                 "use at least twice fleet.heartbeat, so that one lost "
-                "heartbeat does not part two hosts");
+                "heartbeat does not separate two hosts");
   }
   return FillKey(fleet);
 }
--- a/main/fleet_settings.h
+++ b/main/fleet_settings.h
@@ -8,34 +8,38 @@
 
 namespace damasktack {
 
-// The section "fleet". Without it the daemon runs alone.
+// The section "fleet". Without it the daemon runs without peers.
 struct FleetSettings {
   bool enabled = false;
-  // Where peers reach this host; the platform's list must say the same.
+  // Address at which peers connect to this host; must equal its address in the
+  // platform's list of hosts.
   SocketAddress listen;
-  // Shared by all hosts of the fleet, at least 16 characters; in the settings
-  // or in a file. Never logged.
+  // Secret shared by all hosts of the fleet, at least 16 characters; set here
+  // or read from `key_file`. Never logged.
   std::string key;
   std::string key_file;
-  // Peers to ask while the platform is down and no list is known.
+  // Peers to query while the platform is unreachable and no list of hosts is
+  // known.
   std::vector<SocketAddress> seeds;
   Duration heartbeat = std::chrono::seconds(1);
-  // A peer that was not heard for this long counts as unreachable.
+  // A peer without a message for this long counts as unreachable.
   Duration silence = std::chrono::seconds(3);
-  // Between two digests of documents to a random peer, on average.
+  // Average interval between digests of documents sent to a random peer.
   Duration digest = std::chrono::milliseconds(500);
-  // Peers that hear of a changed document at once.
+  // Number of peers that a changed document is sent to at once.
   std::int64_t fanout = 4;
-  // How long a host that starts or woke late waits for silent peers.
+  // How long a host waits for peers that do not respond, after its start or
+  // after a long pause of the process.
   Duration peer_wait = std::chrono::seconds(2);
-  // A longer pause of the process makes it check what it believes.
+  // After a longer pause of the process the host verifies its state of the
+  // fleet again.
   Duration late_wake = std::chrono::seconds(1);
-  // For tests of partitions only: a file that names hosts to cut links to.
+  // Only for tests of partitions: a file with the hosts to which links are cut.
   std::string test_cut_file;
 };
 
-// Checks what goes beyond single settings and reads the key where a file
-// holds it.
+// Checks constraints between settings and reads the key from `key_file` if that
+// is set.
 leaf::result<void> CompleteFleetSettings(FleetSettings& fleet);
 
 }  // namespace damasktack
--- a/main/help_command.cc
+++ b/main/help_command.cc
@@ -43,8 +43,8 @@
   return CtlExit::kDone;
 }
 
-// All commands' words and options; which of them fit where is left to the
-// commands' own messages.
+// Prints completion rules with the names and options of all commands. They do
+// not check which options can be combined; the commands report that.
 leaf::result<CtlExit> RunCompletion(const CtlInvocation& invocation) {
   if (invocation.arguments.front() != kBash) {
     return Fail(ErrorKind::kUsage, "completion", invocation.arguments.front(),
--- a/main/help_command.h
+++ b/main/help_command.h
@@ -11,11 +11,11 @@
 extern const CtlCommand kHelpCommand;
 extern const CtlCommand kCompletionCommand;
 
-// "damasktackctl contract check FILE...".
+// Returns the usage, as in "damasktackctl contract check FILE...".
 std::string UsageLine(const CtlCommand& command);
-// Usage and options of one command.
+// Prints usage and options of one command.
 void PrintUsage(const CtlCommand& command, std::ostream& out);
-// One line for each command.
+// Prints one line for each command.
 void PrintOverview(std::ostream& out);
 
 }  // namespace damasktack
--- a/main/histogram_command.h
+++ b/main/histogram_command.h
@@ -5,7 +5,7 @@
 
 namespace damasktack {
 
-// Draws call times by customer and class in the terminal.
+// Draws histograms of call durations by customer and class in the terminal.
 extern const CtlCommand kHistogramCommand;
 
 }  // namespace damasktack
--- a/main/host_answers.h
+++ b/main/host_answers.h
@@ -8,14 +8,14 @@
 
 namespace damasktack {
 
-// What one host answered.
+// Response of one host.
 struct HostAnswer {
   SocketAddress address;
   Json body;
 };
 
-// What several hosts answered to one request. A host that cannot be asked
-// must not hide the others, so that its error stands beside their answers.
+// Responses of several hosts to the same request. A host that cannot be queried
+// must not hide the responses of the others, so errors are kept beside them.
 struct HostAnswers {
   std::vector<HostAnswer> answers;
   std::vector<Error> errors;
@@ -29,10 +29,11 @@
                    AdminVerb verb,
                    const std::string& path);
 
-// The answers as one JSON object: "hosts" and "errors".
+// Returns the responses as one JSON object with the members "hosts" and
+// "errors".
 Json ToJson(const HostAnswers& answers);
 
-// Prints each error to the error output.
+// Prints each error to `err`.
 void PrintErrors(const HostAnswers& answers, std::ostream& err);
 
 }  // namespace damasktack
--- a/main/inspect_command.cc
+++ b/main/inspect_command.cc
@@ -10,19 +10,19 @@
 
 namespace {
 
-// A column of a table and the members that fill it.
+// A column of a table and the JSON member that it shows.
 struct Column {
   std::string title;
-  // JSON pointer within a row.
+  // JSON pointer relative to the row.
   std::string pointer;
 };
 
-// A table made from a list in each host's answer.
+// Describes a table that is generated from a list in each host's response.
 struct TableView {
-  // The list's name; empty where the answer itself is the only row.
+  // Name of the list; empty if the response itself is the only row.
   std::string list;
-  // A list within each item, whose items are the rows; empty for none. A row
-  // then has the members of both.
+  // Name of a list within each item whose items are the rows; empty for none.
+  // Such a row has the members of both objects.
   std::string inner_list;
   std::vector<Column> columns;
 };
--- a/main/inspect_command.h
+++ b/main/inspect_command.h
@@ -5,7 +5,7 @@
 
 namespace damasktack {
 
-// Commands that show what hosts answer, a table for people or JSON.
+// Commands that show the state of hosts as a table or as JSON.
 extern const CtlCommand kStatusCommand;
 extern const CtlCommand kContractsCommand;
 extern const CtlCommand kEndpointsCommand;
--- a/main/load_command.cc
+++ b/main/load_command.cc
@@ -18,11 +18,11 @@
 leaf::result<LoadPlan> ReadPlan(const CtlInvocation& invocation) {
   if (invocation.options.count(kPlanOption) == 0) {
     return Fail(ErrorKind::kUsage, "--plan", "nothing",
-                "name a plan with --plan FILE");
+                "specify a plan with --plan FILE");
   }
   const auto path = invocation.options[kPlanOption].as<std::string>();
   BOOST_LEAF_AUTO(
-      text, ReadWholeFile(path, "name an existing plan with --plan FILE"));
+      text, ReadWholeFile(path, "specify an existing plan with --plan FILE"));
   BOOST_LEAF_AUTO(plan, ParseLoadPlan(text, path));
   if (invocation.options.count(kDurationOption) > 0) {
     BOOST_LEAF_ASSIGN(
--- a/main/load_command.h
+++ b/main/load_command.h
@@ -5,7 +5,7 @@
 
 namespace damasktack {
 
-// Sends a plan's calls and prints what each class got.
+// Sends the calls of a load plan and prints the results of each class.
 extern const CtlCommand kLoadCommand;
 
 }  // namespace damasktack
--- a/main/load_generator.cc
+++ b/main/load_generator.cc
@@ -14,17 +14,17 @@
 namespace {
 
 constexpr std::size_t kConnectionsPerEntry = 4096;
-constexpr Duration kLongestIdle = std::chrono::seconds(30);
+constexpr Duration kMaxIdleTime = std::chrono::seconds(30);
 constexpr Duration kConnectTimeout = std::chrono::seconds(1);
 constexpr Duration kReadyPoll = std::chrono::milliseconds(50);
-constexpr Duration kRepeatAfter = std::chrono::milliseconds(200);
+constexpr Duration kRepeatDelay = std::chrono::milliseconds(200);
 constexpr std::string_view kEndpointTimeHeader = "Endpoint-Time-Us";
-constexpr std::string_view kNumberMark = "{n}";
+constexpr std::string_view kNumberPlaceholder = "{n}";
 
 std::string WithNumber(std::string path, std::uint64_t n) {
-  const std::size_t at = path.find(kNumberMark);
+  const std::size_t at = path.find(kNumberPlaceholder);
   if (at != std::string::npos) {
-    path.replace(at, kNumberMark.size(), std::to_string(n));
+    path.replace(at, kNumberPlaceholder.size(), std::to_string(n));
   }
   return path;
 }
@@ -40,7 +40,7 @@
   return std::chrono::microseconds(time_us);
 }
 
-std::string KindOf(const HttpResponse& answer) {
+std::string FailureKind(const HttpResponse& answer) {
   const Json json = Json::parse(answer.body(), nullptr, false);
   const bool named =
       json.is_object() && json.contains("kind") && json.at("kind").is_string();
@@ -48,16 +48,17 @@
 }
 
 LoadOutcome OutcomeOf(const HttpResponse& answer) {
-  const auto told = FromBeast(answer[ToBeast(kOutcomeHeader)]);
+  const auto outcome = FromBeast(answer[ToBeast(kOutcomeHeader)]);
   constexpr unsigned kFirstServerError = 500;
-  if (told == "complete") {
+  if (outcome == "complete") {
     return answer.result_int() < kFirstServerError ? LoadOutcome::kComplete
                                                    : LoadOutcome::kFailed;
   }
-  return told == "not-run" ? LoadOutcome::kNotRun : LoadOutcome::kUnknown;
+  return outcome == "not-run" ? LoadOutcome::kNotRun : LoadOutcome::kUnknown;
 }
 
-// A socket whose operations end at a time: the timer closes it.
+// A socket with a timer that closes it when it expires, which ends its pending
+// operations.
 struct TimedSocket : std::enable_shared_from_this<TimedSocket> {
   explicit TimedSocket(asio::io_context& context)
       : socket(context), timer(context) {}
@@ -78,14 +79,14 @@
 
 }  // namespace
 
-// The event loop's side; all of it runs on the thread that called Run.
+// State of the event loop; used only on the thread that calls Run.
 struct LoadGenerator::Backend {
   struct Entry {
     LoadEntry spec;
     bool ready = true;
   };
 
-  // One call as it is to be sent.
+  // One call that is ready to be sent.
   struct Call {
     std::size_t load_class = 0;
     HttpRequest request;
@@ -97,7 +98,7 @@
       : plan(std::move(it)),
         random(static_cast<std::uint64_t>(plan.seed)),
         key_prefix(std::to_string(std::random_device{}()) + "-"),
-        pool(kLongestIdle) {
+        pool(kMaxIdleTime) {
     for (const LoadEntry& entry : plan.entries) {
       entries.push_back({entry});
     }
@@ -120,7 +121,7 @@
   LoadPlan plan;
   asio::io_context context{1};
   Random random;
-  // Keeps the keys of two runs apart.
+  // Makes the idempotency keys of different runs distinct.
   std::string key_prefix;
   EndpointPool pool;
   std::vector<Entry> entries;
@@ -234,16 +235,16 @@
     co_return record;
   }
   HttpResponse answer;
-  const bool whole = co_await Exchange(**connection, call, answer);
+  const bool is_complete = co_await Exchange(**connection, call, answer);
   record.latency = Clock::now() - call.due;
   const SocketAddress& address = entries[entry].spec.callers;
-  if (whole && answer.keep_alive()) {
+  if (is_complete && answer.keep_alive()) {
     pool.Put({address, kConnectionsPerEntry}, std::move((*connection)->socket),
              Clock::now());
   } else {
     pool.Lose(address);
   }
-  if (!whole) {
+  if (!is_complete) {
     record.outcome = LoadOutcome::kCut;
     co_return record;
   }
@@ -252,7 +253,7 @@
   record.call = FromBeast(answer[ToBeast(kCallHeader)]);
   record.at_endpoint = EndpointTime(answer);
   if (record.outcome != LoadOutcome::kComplete) {
-    record.kind = KindOf(answer);
+    record.kind = FailureKind(answer);
   } else if (plan.classes[call.load_class].expect_path &&
              answer.body().find(std::string(call.request.target()) + "\n") ==
                  std::string::npos) {
@@ -267,12 +268,12 @@
   while (true) {
     const LoadRecord record = co_await SendOnce(call);
     records.push_back(record);
-    const bool unsure = record.outcome == LoadOutcome::kUnknown ||
-                        record.outcome == LoadOutcome::kCut;
-    if (!unsure || repeats-- == 0) {
+    const bool outcome_unknown = record.outcome == LoadOutcome::kUnknown ||
+                                 record.outcome == LoadOutcome::kCut;
+    if (!outcome_unknown || repeats-- == 0) {
       break;
     }
-    co_await SleepUntil(Clock::now() + kRepeatAfter);
+    co_await SleepUntil(Clock::now() + kRepeatDelay);
     call.due = Clock::now();
   }
   --in_flight;
@@ -320,9 +321,9 @@
       record.load_class = n;
     } else {
       Call call = MakeCall(n, number, due);
-      const bool doubled =
+      const bool send_twice =
           spec.idempotency_keys && percent(random) < spec.doubled_percent;
-      if (doubled) {
+      if (send_twice) {
         asio::co_spawn(context, Deliver(call, spec.repeats), asio::detached);
       }
       asio::co_spawn(context, Deliver(std::move(call), spec.repeats),
--- a/main/load_generator.h
+++ b/main/load_generator.h
@@ -8,17 +8,17 @@
 
 namespace damasktack {
 
-// Sends a plan's calls at their rates whether or not earlier ones have been
-// answered (open loop), and stands in for the platform's balancer: it spreads
-// calls over the ready entry hosts and tries the next one where a connection
-// is refused.
+// Open-loop load generator: sends a plan's calls at their rates whether or not
+// earlier ones have been answered. Emulates the platform's balancer:
+// distributes calls over the ready load balancer hosts and tries the next host
+// if a connection is refused.
 class LoadGenerator {
  public:
   explicit LoadGenerator(LoadPlan plan);
   ~LoadGenerator();
 
-  // Sends for the plan's duration, waits for the last answers, and returns
-  // one record for each send. Once only.
+  // Sends for the plan's duration, waits for the last responses and returns one
+  // record for each send. May be called only once.
   LoadRecords Run();
 
  private:
--- a/main/load_plan.h
+++ b/main/load_plan.h
@@ -13,36 +13,38 @@
 
 namespace damasktack {
 
-// One sort of call that a load run sends.
+// One class of calls that a load run sends.
 struct LoadClass {
   std::string name;
-  // The customer's key.
+  // The customer's API key.
   std::string key;
   std::string method = "GET";
-  // "{n}" becomes the number of the call within its class.
+  // "{n}" is replaced by the number of the call within its class.
   std::string path;
-  // Calls a second, spaced at random around it.
+  // Average calls per second; the intervals are random.
   double rate = 1;
-  // From the start of the run.
+  // Offset from the start of the run.
   Duration start{};
-  // Null for the rest of the run.
+  // Null means until the end of the run.
   std::optional<Duration> duration;
   // Sent as Damasktack-Deadline-Ms; null sends none.
   std::optional<Duration> deadline;
-  // Gives each call an Idempotency-Key of its own.
+  // Whether each call gets its own Idempotency-Key.
   bool idempotency_keys = false;
-  // How often a keyed call is sent again under its key, through another entry,
-  // after an end that left its outcome unknown.
+  // How often a call with a key is sent again under its key, through another
+  // entry, after its outcome remained unknown.
   std::int64_t repeats = 0;
-  // Percent of keyed calls that are sent twice at the same time, through two
-  // entries.
+  // Percentage of calls with a key that are sent twice at the same time,
+  // through two entries.
   std::int64_t doubled_percent = 0;
-  // A whole answer must name the call's path, as the stand-ins' answers do.
+  // Whether a complete response must contain the call's path, as responses of
+  // the stand-in endpoints do.
   bool expect_path = false;
 };
 
-// Where calls enter, and where to ask whether the host is ready; a host that
-// is not gets no new calls, as behind the platform's balancer.
+// A load balancer host's address for calls, and the one for its readiness
+// check. A host that is not ready gets no new calls, as behind the platform's
+// balancer.
 struct LoadEntry {
   SocketAddress callers;
   std::optional<SocketAddress> admin;
@@ -52,9 +54,9 @@
   std::vector<LoadClass> classes;
   std::vector<LoadEntry> entries;
   Duration duration = std::chrono::seconds(10);
-  // How long to wait for an answer beyond the deadline.
+  // Time to wait for a response beyond the deadline.
   Duration answer_timeout = std::chrono::seconds(30);
-  // Calls beyond so many in flight are counted as not sent.
+  // Maximum calls in flight; further calls are counted as not sent.
   std::int64_t in_flight = 4000;
   std::int64_t seed = 1;
 };
--- a/main/load_record.h
+++ b/main/load_record.h
@@ -11,41 +11,42 @@
 
 namespace damasktack {
 
-// What a caller was told, or saw.
+// Outcome of a call as reported to, or observed by, the caller.
 enum class LoadOutcome : std::uint8_t {
-  // A whole answer below 500.
+  // A complete response with a status below 500.
   kComplete,
-  // A whole answer of an endpoint, 500 or above.
+  // A complete response of an endpoint with a status of 500 or above.
   kFailed,
   kNotRun,
   kUnknown,
-  // The entry host closed without a whole answer, or never answered.
+  // The load balancer host closed the connection before the end of the
+  // response, or did not respond in time.
   kCut,
-  // The whole answer to another call.
+  // A complete response that belongs to another call.
   kWrongAnswer,
-  // No entry host took the connection.
+  // No load balancer host accepted the connection.
   kNoEntry,
-  // The generator's own bound on calls in flight.
+  // The generator's limit on calls in flight was reached.
   kNotSent,
 };
 inline constexpr std::size_t kLoadOutcomeCount = 8;
 std::string_view ToString(LoadOutcome outcome);
 
-// One send of one call.
+// One attempt of one call.
 struct LoadRecord {
   std::size_t load_class = 0;
   LoadOutcome outcome = LoadOutcome::kNotSent;
   int status = 0;
-  // The Idempotency-Key; empty where none was sent.
+  // The Idempotency-Key; empty if none was sent.
   std::string key;
-  // Damasktack-Call of the answer; empty where none came.
+  // Damasktack-Call of the response; empty if there was none.
   std::string call;
-  // Member "kind" of a failure's body.
+  // Member "kind" in the body of a failure.
   std::string kind;
-  // From the moment the call was due, not from when it was sent: a generator
-  // that falls behind must not hide the wait.
+  // Measured from the time at which the call was due and not from its send, so
+  // that a generator that falls behind does not hide the wait.
   Duration latency{};
-  // As told by the endpoint; null where it is not known.
+  // Processing time reported by the endpoint; null if unknown.
   std::optional<Duration> at_endpoint;
 };
 
--- a/main/load_report.cc
+++ b/main/load_report.cc
@@ -9,7 +9,7 @@
 
 namespace bh = boost::histogram;
 
-// 2.3 percent a bin, from 1 us to 100 s.
+// Bins are 2.3 percent wide, from 1 us to 100 s.
 constexpr unsigned kBins = 800;
 constexpr double kShortest = 1e-6;
 constexpr double kLongest = 1e2;
--- a/main/load_report.h
+++ b/main/load_report.h
@@ -12,7 +12,7 @@
 
 namespace damasktack {
 
-// Quantiles within 2.5 percent; all 0 where nothing was counted.
+// Quantiles with an error of at most 2.5 percent; all 0 if nothing was counted.
 struct LoadQuantiles {
   std::uint64_t count = 0;
   Duration p50{};
@@ -22,15 +22,16 @@
 
 struct LoadClassReport {
   std::string name;
-  // By LoadOutcome.
+  // Indexed by LoadOutcome.
   std::array<std::uint64_t, kLoadOutcomeCount> outcomes{};
-  // Of whole answers, from when the call was due.
+  // Latency of complete responses, measured from when the call was due.
   LoadQuantiles total;
-  // The same less the time at the endpoint, where that is known.
+  // The same without the processing time at the endpoint, for calls where it is
+  // known.
   LoadQuantiles added;
 };
 
-// One entry a class, in the plan's order.
+// Returns one entry per class in the order of the plan.
 std::vector<LoadClassReport> ReportLoad(const LoadPlan& plan,
                                         const LoadRecords& records);
 
--- a/main/manual_page.cc
+++ b/main/manual_page.cc
@@ -14,8 +14,8 @@
 
 namespace po = boost::program_options;
 
-// In troff a hyphen may be broken or turned into a dash, and a line that
-// begins with a dot is an order.
+// Escapes text for troff, which may break a hyphen or replace it by a dash and
+// interprets a line that starts with a dot as a request.
 std::string Escaped(std::string_view text) {
   std::string escaped;
   for (const char it : text) {
--- a/main/manual_page.h
+++ b/main/manual_page.h
@@ -5,8 +5,8 @@
 
 namespace damasktack {
 
-// The manual pages in troff, made from the tables of commands, options and
-// settings; docs/man holds their output.
+// Print the manual pages in troff, generated from the tables of commands,
+// options and settings; docs/man holds their output.
 void PrintToolManual(std::ostream& out);
 void PrintDaemonManual(std::ostream& out);
 
--- a/main/settings.cc
+++ b/main/settings.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t kShortestToken = 16;
+constexpr std::size_t kMinTokenLength = 16;
 
 leaf::result<void> CheckAdminAddress(const AdminOptions& admin) {
   boost::system::error_code ec;
@@ -36,7 +36,7 @@
               "are published in a key-value store");
 }
 
-leaf::result<void> FillToken(AdminOptions& admin) {
+leaf::result<void> LoadToken(AdminOptions& admin) {
   if (admin.public_only) {
     return {};
   }
@@ -48,16 +48,17 @@
   if (!admin.token_file.empty()) {
     BOOST_LEAF_ASSIGN(admin.token, ReadTokenFile(admin.token_file));
   }
-  if (admin.token.size() < kShortestToken) {
+  if (admin.token.size() < kMinTokenLength) {
     return Fail(ErrorKind::kOutOfRange, "admin.token",
                 std::to_string(admin.token.size()) + " characters",
-                "use at least " + std::to_string(kShortestToken) +
+                "use at least " + std::to_string(kMinTokenLength) +
                     " characters, as from openssl rand -hex 16");
   }
   return {};
 }
 
-// The parser quotes the text around a fault, which may be the token.
+// Removes the quoted text from a parse error, since the text near the error may
+// be the token.
 Error WithoutQuotedText(Error error) {
   const std::size_t quoted = error.found.find("; last read");
   if (error.kind == ErrorKind::kInvalidJson && quoted != std::string::npos) {
@@ -69,12 +70,12 @@
 leaf::result<Json> ParseWithoutQuotes(std::string_view text,
                                       std::string_view where) {
   Json json;
-  const std::optional<Error> fault = FaultOf([&]() -> leaf::result<void> {
+  const std::optional<Error> error = FaultOf([&]() -> leaf::result<void> {
     BOOST_LEAF_ASSIGN(json, ParseJson(text, where));
     return {};
   });
-  if (fault) {
-    return leaf::new_error(WithoutQuotedText(*fault));
+  if (error) {
+    return leaf::new_error(WithoutQuotedText(*error));
   }
   return json;
 }
@@ -90,7 +91,7 @@
   BOOST_LEAF_CHECK(reader.Finish());
   BOOST_LEAF_CHECK(CheckSource(settings));
   BOOST_LEAF_CHECK(CheckAdminAddress(settings.admin));
-  BOOST_LEAF_CHECK(FillToken(settings.admin));
+  BOOST_LEAF_CHECK(LoadToken(settings.admin));
   if (settings.fleet.enabled) {
     BOOST_LEAF_CHECK(CompleteFleetSettings(settings.fleet));
   }
@@ -99,14 +100,16 @@
   settings.proxy.measured.host = settings.host;
   settings.proxy.measured.zone = settings.zone;
   settings.proxy.measured.retries = settings.proxy.balancer.retries;
-  // Where hosts share one budget, what each earns for nothing adds up.
+  // Hosts share one retry budget here, so the credit that each host earns while
+  // idle would add up across the fleet; one refill per hour keeps it
+  // negligible.
   settings.proxy.measured.retries.idle_refill = std::chrono::hours(1);
   return settings;
 }
 
 leaf::result<Settings> LoadSettings(const std::string& path) {
   BOOST_LEAF_AUTO(text, ReadWholeFile(path,
-                                      "name an existing settings file with "
+                                      "specify an existing settings file with "
                                       "--settings FILE"));
   return ParseSettings(text, path);
 }
--- a/main/settings.h
+++ b/main/settings.h
@@ -20,57 +20,59 @@
   bool enabled = false;
   SocketAddress address;
   Duration watch = std::chrono::seconds(20);
-  // Between failed reads: doubled from `retry` to `longest_retry`, jittered.
+  // Delay after a failed read: doubled from `retry` up to `longest_retry`, with
+  // jitter.
   Duration retry = std::chrono::milliseconds(500);
   Duration longest_retry = std::chrono::seconds(30);
   Duration read_timeout = std::chrono::seconds(2);
-  // How often a host that is no reader for its zone reads all the same.
+  // How often a host that is not a reader for its zone reads nevertheless.
   Duration safety_read = std::chrono::minutes(5);
-  // A host that starts waits up to about this long before it reads.
+  // Upper end of the random delay before the first read of a host that starts.
   Duration start_spread = std::chrono::milliseconds(300);
-  // Reads and watches a second that all hosts together may send.
+  // Maximum reads and watches per second of all hosts together.
   double reads_per_second = 200;
 };
 
 // The section "store", for deployments that publish routes and endpoints in a
-// key-value store; the daemon then reads that instead of documents.
+// key-value store, which the daemon then reads instead of documents.
 struct StoreOptions {
   bool enabled = false;
   SocketAddress address;
-  // One watch waits this long.
+  // Maximum duration of one watch.
   Duration watch = std::chrono::milliseconds(600);
-  // Changes that come within this time cost one call together.
+  // Changes within this time are batched into one update.
   Duration gather = std::chrono::milliseconds(150);
-  // How long a host that starts waits for its peers before it asks the store.
+  // How long a host that starts waits for its peers before it queries the
+  // store.
   Duration start_patience = std::chrono::milliseconds(250);
-  // Calls wait for the first routes until this long after the start: a large
-  // book takes a while where all hosts start together.
+  // Until this long after the start, calls wait for the first routes: loading a
+  // large route table takes time when all hosts start together.
   Duration start_hold = std::chrono::milliseconds(1500);
-  // Whether a host that starts reads any copy of the store at once.
+  // Whether a host that starts reads any replica of the store at once.
   bool early_read = false;
-  // Hosts that share the endpoints, until a peer says how many there are.
+  // Number of hosts that share the endpoints, until a peer reports it.
   std::int64_t hosts = 16;
 };
 
 struct StopOptions {
-  // How long to go on serving after readiness went off, so that the
-  // platform's balancer has time to notice.
+  // How long to continue serving after the host reports "not ready", so that
+  // the platform's balancer has time to notice.
   Duration lag = std::chrono::seconds(5);
-  // The longest wait for calls in flight after that.
+  // Maximum wait for calls in flight after that.
   Duration longest = std::chrono::minutes(2);
-  // In seconds: when the platform ends a process that was told to stop. Where
-  // it is above 0, calls in flight are waited for until shortly before that, in
-  // place of `longest`.
+  // Seconds after which the platform kills a process that it has told to stop.
+  // If above 0, calls in flight are waited for until shortly before that time
+  // instead of for `longest`.
   double grace_seconds = 0;
 };
 
-// Everything one daemon is told when it starts.
+// All settings of one daemon.
 struct Settings {
   HostId host;
   ZoneId zone;
-  // Whether log lines of level debug are written too.
+  // Whether lines of level debug are logged too.
   bool log_debug = false;
-  // The region of each zone.
+  // Region of each zone.
   std::map<ZoneId, RegionId> regions;
   ProxyOptions proxy;
   AdminOptions admin;
@@ -82,12 +84,12 @@
   StopOptions stop;
 };
 
-// Checks all of it; the first fault is the error.
+// Parse and validate settings; fail with the first error.
 leaf::result<Settings> ParseSettings(std::string_view text,
                                      std::string_view where);
 leaf::result<Settings> LoadSettings(const std::string& path);
 
-// Every setting there is, in the order of the sections.
+// Returns all settings in the order of the sections.
 std::vector<SettingDescription> DescribeSettings();
 
 }  // namespace damasktack
--- a/main/settings_command.h
+++ b/main/settings_command.h
@@ -6,7 +6,7 @@
 namespace damasktack {
 
 extern const CtlCommand kSettingsCheckCommand;
-// Prints the tables of docs/SETTINGS.md.
+// Prints the table of docs/SETTINGS.md.
 extern const CtlCommand kSettingsDescribeCommand;
 
 }  // namespace damasktack
--- a/main/settings_describer.h
+++ b/main/settings_describer.h
@@ -12,19 +12,19 @@
 
 namespace damasktack {
 
-// One setting as the reference page shows it; all texts.
+// One setting as shown on the reference page, as texts.
 struct SettingDescription {
-  // With its section, as in "proxy.threads".
+  // Key with its section, as in "proxy.threads".
   std::string key;
   std::string unit;
-  // "required" where there is none.
+  // "required" if there is no default.
   std::string default_value;
   std::string range;
   std::string meaning;
 };
 
-// Visits settings to describe them; the counterpart of SettingsReader, with
-// the same members. The defaults are the values found in the options.
+// Visitor that describes settings; has the same interface as SettingsReader.
+// The defaults are the values in the options passed.
 class SettingsDescriber {
  public:
   explicit SettingsDescriber(std::string path) : path_(std::move(path)) {}
--- a/main/settings_reader.cc
+++ b/main/settings_reader.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-// The value of a misspelt key may be a secret.
+// Removes the value from an error about an unknown key, since the value of a
+// misspelled key may be a secret.
 Error WithoutValue(Error error) {
   if (error.kind == ErrorKind::kUnknownKey) {
     error.found = "an unknown key";
@@ -126,9 +127,9 @@
 }
 
 leaf::result<void> SettingsReader::Finish() {
-  const std::optional<Error> fault = FaultOf([&] { return reader_.Finish(); });
-  if (fault) {
-    return leaf::new_error(WithoutValue(*fault));
+  const std::optional<Error> error = FaultOf([&] { return reader_.Finish(); });
+  if (error) {
+    return leaf::new_error(WithoutValue(*error));
   }
   return {};
 }
--- a/main/settings_reader.h
+++ b/main/settings_reader.h
@@ -13,22 +13,22 @@
 
 enum class SettingNeed : std::uint8_t { kRequired, kOptional };
 
-// Visits settings to take their values from one JSON object. The first fault
-// is kept; Finish reports it.
+// Visitor that reads settings from one JSON object. Keeps the first error,
+// which Finish returns.
 class SettingsReader {
  public:
   SettingsReader(const Json& json, std::string path);
 
-  // An id; required.
+  // A required ID.
   template <typename Id>
   void Name(std::string_view key, Id& out, std::string_view /*meaning*/) {
     std::string text;
     reader_.Read(key, text);
     out = Id(text);
   }
-  // Optional; an empty text counts as none.
+  // An optional text; an empty one counts as missing.
   void Text(std::string_view key, std::string& out, std::string_view meaning);
-  // A text that no message may show, also not when it is refused.
+  // A text that must not appear in any message, not even when it is rejected.
   void Secret(std::string_view key, std::string& out, std::string_view meaning);
   void Address(std::string_view key,
                SocketAddress& out,
@@ -52,7 +52,7 @@
               std::string_view unit,
               std::string_view meaning);
   void Flag(std::string_view key, bool& out, std::string_view meaning);
-  // An object of names by names; optional.
+  // An optional object that maps names to names.
   template <typename Key, typename Id>
   void Names(std::string_view key,
              std::map<Key, Id>& out,
@@ -61,14 +61,13 @@
       out.emplace(name, value);
     }
   }
-  // A list of addresses; optional.
+  // An optional list of addresses.
   void Addresses(std::string_view key,
                  std::vector<SocketAddress>& out,
                  std::string_view meaning);
 
-  // An object of settings within this one, visited by
-  // `visit(visitor, options)`; where it is missing all defaults stay, unless
-  // it is required. Tells whether it is there.
+  // A nested object of settings, visited by `visit(visitor, options)`. If it is
+  // missing and not required, all defaults stay. Returns whether it is present.
   template <typename Options, typename Visit>
   bool Section(std::string_view key,
                Options& options,
--- a/main/settings_sections.h
+++ b/main/settings_sections.h
@@ -6,10 +6,11 @@
 
 namespace damasktack::detail {
 
-// The one list of all settings. Each function names the settings of a section
-// with range and meaning, and is run by two visitors: SettingsReader takes the
-// values from a file, SettingsDescriber writes the reference page. A new
-// setting needs one line here and a member with its default.
+// The list of all settings. Each function names the settings of a section with
+// their ranges and meanings and is run by several visitors: SettingsReader
+// reads the values from a file, SettingsDescriber writes the reference page,
+// SettingsSnapshot records values for comparison. A new setting needs one line
+// here and a member with its default.
 
 using std::chrono::hours;
 using std::chrono::microseconds;
--- a/main/settings_snapshot.cc
+++ b/main/settings_snapshot.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-// Settings that a running host takes in. All others shape what it opened when
-// it started: sockets, threads, the balancers of its services.
-constexpr std::array<std::string_view, 4> kTakenWhileRunning = {
+// Settings that a running host can apply. All others determine what it created
+// at its start: sockets, threads, the balancers of its services.
+constexpr std::array<std::string_view, 4> kReloadableSettings = {
     "fleet.seeds", "stop.lag", "stop.longest", "stop.grace_seconds"};
 
 SettingsSnapshot SnapshotOf(Settings settings) {
@@ -26,7 +26,7 @@
   return path_.empty() ? std::string(key) : path_ + "." + std::string(key);
 }
 
-void SettingsSnapshot::Note(std::string_view key, std::string text) {
+void SettingsSnapshot::Record(std::string_view key, std::string text) {
   values_.push_back({PathOf(key), std::move(text)});
 }
 
@@ -37,7 +37,7 @@
   for (const SocketAddress& it : value) {
     text += ToString(it) + " ";
   }
-  Note(key, std::move(text));
+  Record(key, std::move(text));
 }
 
 std::vector<std::string> SettingsSnapshot::ChangedIn(
@@ -52,13 +52,13 @@
 }
 
 SettingsChange CompareSettings(const Settings& running,
-                               const Settings& wanted) {
+                               const Settings& new_settings) {
   SettingsChange change;
   for (const std::string& it :
-       SnapshotOf(running).ChangedIn(SnapshotOf(wanted))) {
-    const bool is_taken =
-        std::ranges::find(kTakenWhileRunning, it) != kTakenWhileRunning.end();
-    (is_taken ? change.taken : change.after_restart).push_back(it);
+       SnapshotOf(running).ChangedIn(SnapshotOf(new_settings))) {
+    const bool is_reloadable =
+        std::ranges::find(kReloadableSettings, it) != kReloadableSettings.end();
+    (is_reloadable ? change.applied : change.after_restart).push_back(it);
   }
   return change;
 }
--- a/main/settings_snapshot.h
+++ b/main/settings_snapshot.h
@@ -11,8 +11,8 @@
 
 namespace damasktack {
 
-// Visits settings to note their values, so that two of them can be compared.
-// Values may be secrets: they are compared and never shown.
+// Visitor that records the values of settings, so that two sets can be
+// compared. Values may be secrets: they are compared and never shown.
 class SettingsSnapshot {
  public:
   explicit SettingsSnapshot(std::string path) : path_(std::move(path)) {}
@@ -21,30 +21,30 @@
   void Name(std::string_view key,
             const Id& value,
             std::string_view /*meaning*/) {
-    Note(key, value.text());
+    Record(key, value.text());
   }
   void Text(std::string_view key,
             const std::string& value,
             std::string_view /*meaning*/) {
-    Note(key, value);
+    Record(key, value);
   }
   void Secret(std::string_view key,
               const std::string& value,
               std::string_view /*meaning*/) {
-    Note(key, value);
+    Record(key, value);
   }
   void Address(std::string_view key,
                const SocketAddress& value,
                SettingNeed /*need*/,
                std::string_view /*meaning*/) {
-    Note(key, ToString(value));
+    Record(key, ToString(value));
   }
   void Time(std::string_view key,
             Duration value,
             Duration /*low*/,
             Duration /*high*/,
             std::string_view /*meaning*/) {
-    Note(key, FormatDuration(value));
+    Record(key, FormatDuration(value));
   }
   void Count(std::string_view key,
              std::int64_t value,
@@ -52,7 +52,7 @@
              std::int64_t /*high*/,
              std::string_view /*unit*/,
              std::string_view /*meaning*/) {
-    Note(key, std::to_string(value));
+    Record(key, std::to_string(value));
   }
   void Number(std::string_view key,
               double value,
@@ -60,10 +60,10 @@
               double /*high*/,
               std::string_view /*unit*/,
               std::string_view /*meaning*/) {
-    Note(key, std::to_string(value));
+    Record(key, std::to_string(value));
   }
   void Flag(std::string_view key, bool value, std::string_view /*meaning*/) {
-    Note(key, value ? "true" : "false");
+    Record(key, value ? "true" : "false");
   }
   template <typename Key, typename Id>
   void Names(std::string_view key,
@@ -73,7 +73,7 @@
     for (const auto& [name, id] : value) {
       text += name.text() + "=" + id.text() + " ";
     }
-    Note(key, std::move(text));
+    Record(key, std::move(text));
   }
   void Addresses(std::string_view key,
                  const std::vector<SocketAddress>& value,
@@ -91,7 +91,8 @@
     return true;
   }
 
-  // Names of the settings that differ; both must come from the same visit.
+  // Returns the keys of the settings that differ; both snapshots must come from
+  // the same visit function.
   std::vector<std::string> ChangedIn(const SettingsSnapshot& other) const;
 
  private:
@@ -101,22 +102,25 @@
   };
 
   std::string PathOf(std::string_view key) const;
-  void Note(std::string_view key, std::string text);
+  void Record(std::string_view key, std::string text);
 
   std::string path_;
   std::vector<Value> values_;
 };
 
-// What a running host does with changed settings.
+// Effect of changed settings on a running host.
 struct SettingsChange {
-  // In force at once.
-  std::vector<std::string> taken;
-  // In force after a restart; until then what the host started with stays.
+  // Settings that were applied at once.
+  std::vector<std::string> applied;
+  // Settings that need a restart; until then the values of the start stay in
+  // force.
   std::vector<std::string> after_restart;
 };
 
-// Which settings differ, parted by whether a running host takes them in.
-SettingsChange CompareSettings(const Settings& running, const Settings& wanted);
+// Returns the settings that differ, grouped by whether a running host can apply
+// them.
+SettingsChange CompareSettings(const Settings& running,
+                               const Settings& new_settings);
 
 }  // namespace damasktack
 
--- a/main/store_daemon.cc
+++ b/main/store_daemon.cc
@@ -18,17 +18,18 @@
 namespace {
 
 constexpr Duration kStopPoll = std::chrono::milliseconds(10);
-// Without any caller's connection for this long, the stop is done.
-constexpr Duration kQuietBeforeEnd = std::chrono::milliseconds(50);
-// Hosts that may dial at once: all of a large fleet after it was restarted.
-constexpr std::size_t kMostFollowers = 1024;
-// A link on which nothing came for this long is dialed again; both sides speak
-// at least every second and a half.
-constexpr std::chrono::milliseconds kLinkSilence(4000);
-constexpr std::chrono::milliseconds kLongestDialBackoff(1000);
-// In which connections that are idle when the lag is over end: the time that
-// they are given, and some more.
-constexpr Duration kIdleEndTime = std::chrono::milliseconds(520);
+// The stop is complete when there has been no caller connection for this long.
+constexpr Duration kIdleTimeBeforeStop = std::chrono::milliseconds(50);
+// Maximum number of peers that may connect at once: all hosts of a large fleet
+// after it was restarted.
+constexpr std::size_t kMaxUnprovedConnections = 1024;
+// A link without a message for this long is reconnected; both sides send at
+// least every 1.5 s.
+constexpr std::chrono::milliseconds kLinkSilenceTimeout(4000);
+constexpr std::chrono::milliseconds kMaxDialBackoff(1000);
+// Time in which connections that are idle at the end of the lag are closed:
+// their idle timeout during a stop plus a margin.
+constexpr Duration kIdleCloseTime = std::chrono::milliseconds(520);
 
 ProxyOptions MakeProxyOptions(const Settings& settings) {
   ProxyOptions options = settings.proxy;
@@ -50,16 +51,16 @@
   return options;
 }
 
-// How long a stop may take. A fixed time would cut calls that endpoints still
-// work on, although the platform waits longer; the twelfth is for ending the
-// process on a busy host.
-Duration LongestStop(const StopOptions& stop) {
+// Returns the maximum duration of a stop. A fixed time would abort calls that
+// endpoints still process although the platform waits longer; a twelfth of the
+// platform's grace period is reserved for ending the process on a busy host.
+Duration MaxStopTime(const StopOptions& stop) {
   if (stop.grace_seconds <= 0) {
     return stop.lag + stop.longest;
   }
-  constexpr double kUsed = 11.0 / 12;
+  constexpr double kUsableFraction = 11.0 / 12;
   return std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(stop.grace_seconds * kUsed));
+      std::chrono::duration<double>(stop.grace_seconds * kUsableFraction));
 }
 
 void WriteCounter(std::ostream& out,
@@ -68,7 +69,8 @@
   out << "# TYPE " << name << " counter\n" << name << " " << value << "\n";
 }
 
-// "none" without any, so that a line of the log has the same fields always.
+// Joins names with commas. Returns "none" if there are none, so that a log line
+// always has the same fields.
 std::string Join(const std::vector<std::string>& names) {
   std::string text;
   for (const std::string& it : names) {
@@ -96,13 +98,14 @@
   options.fleet_key = settings.fleet.key;
   options.listen_ip = settings.fleet.listen.ip;
   options.listen_port = settings.fleet.listen.port;
-  options.unproved_connections = kMostFollowers;
-  options.silence_timeout = kLinkSilence;
-  options.longest_backoff = kLongestDialBackoff;
+  options.unproved_connections = kMaxUnprovedConnections;
+  options.silence_timeout = kLinkSilenceTimeout;
+  options.longest_backoff = kMaxDialBackoff;
   return std::make_unique<WebsocketTransport>(std::move(options), events);
 }
 
-// The services of a book with the endpoints published for them.
+// Returns the services of the route table with the endpoints published for
+// them.
 std::vector<ServiceSpec> MakeServices(
     const PublishedState& state,
     const std::map<ZoneId, RegionId>& regions) {
@@ -169,9 +172,9 @@
   BOOST_LEAF_CHECK(callers_.Start());
   BOOST_LEAF_CHECK(admin_.Start());
   if (transport_) {
-    if (const std::error_code problem = transport_->Start()) {
+    if (const std::error_code ec = transport_->Start()) {
       return Fail(ErrorKind::kInvalidAddress, "fleet.listen",
-                  ToString(settings_.fleet.listen) + ": " + problem.message(),
+                  ToString(settings_.fleet.listen) + ": " + ec.message(),
                   "choose an address of this host with a free port");
     }
   }
@@ -198,16 +201,16 @@
                     state.hosts > 0 ? state.hosts : settings_.store.hosts,
                     Clock::now());
   has_routes_ = true;
-  KeepDrainedZones(state);
+  SetDrainedZones(state);
   LogChange(state);
 }
 
-void StoreDaemon::KeepDrainedZones(const PublishedState& state) {
+void StoreDaemon::SetDrainedZones(const PublishedState& state) {
   const std::lock_guard lock(drained_zones_mutex_);
   drained_zones_ = state.drained_zones;
 }
 
-std::vector<ZoneId> StoreDaemon::DrainedZonesInForce() const {
+std::vector<ZoneId> StoreDaemon::GetDrainedZones() const {
   const std::lock_guard lock(drained_zones_mutex_);
   return drained_zones_;
 }
@@ -228,40 +231,41 @@
 void StoreDaemon::Stop() {
   spdlog::info("event=stopping host={}", settings_.host.text());
   stopping_ = true;
-  // From now on answers close their connections, so that callers move away
-  // while the platform's balancer has not noticed yet.
+  // From now on connections are closed after their response, so that callers
+  // move to other hosts before the platform's balancer has noticed the stop.
   state_.SetStopping();
-  const TimePoint last = Clock::now() + LongestStop(settings_.stop);
+  const TimePoint last = Clock::now() + MaxStopTime(settings_.stop);
   std::this_thread::sleep_for(settings_.stop.lag);
   callers_.BeginStopping();
-  std::this_thread::sleep_for(kIdleEndTime);
-  // What is taken in later could not be finished: its call would be cut when
-  // the platform ends the process. A refused connection tells its caller that
+  std::this_thread::sleep_for(kIdleCloseTime);
+  // A call accepted later could not be finished: it would be aborted when the
+  // platform kills the process. A refused connection tells the caller that
   // nothing was read.
   callers_.StopAccepting();
   admin_.Stop();
-  TimePoint quiet_since = Clock::now();
-  while (Clock::now() < last && Clock::now() - quiet_since < kQuietBeforeEnd) {
+  TimePoint idle_since = Clock::now();
+  while (Clock::now() < last &&
+         Clock::now() - idle_since < kIdleTimeBeforeStop) {
     std::this_thread::sleep_for(kStopPoll);
     if (callers_.connections() > 0) {
-      quiet_since = Clock::now();
+      idle_since = Clock::now();
     }
   }
-  const std::int64_t cut = state_.calls_in_flight();
+  const std::int64_t aborted = state_.calls_in_flight();
   callers_.Stop();
   StopPublished();
-  spdlog::info("event=stopped host={} cut={}", settings_.host.text(), cut);
+  spdlog::info("event=stopped host={} cut={}", settings_.host.text(), aborted);
 }
 
-void StoreDaemon::Reload(const Settings& wanted) {
-  const SettingsChange change = CompareSettings(settings_, wanted);
-  settings_.stop = wanted.stop;
-  if (settings_.fleet.seeds != wanted.fleet.seeds) {
-    settings_.fleet.seeds = wanted.fleet.seeds;
-    published_.SetSeeds(wanted.fleet.seeds);
+void StoreDaemon::Reload(const Settings& new_settings) {
+  const SettingsChange change = CompareSettings(settings_, new_settings);
+  settings_.stop = new_settings.stop;
+  if (settings_.fleet.seeds != new_settings.fleet.seeds) {
+    settings_.fleet.seeds = new_settings.fleet.seeds;
+    published_.SetSeeds(new_settings.fleet.seeds);
   }
   spdlog::info("event=reloaded host={} taken={} after_restart={}",
-               settings_.host.text(), Join(change.taken),
+               settings_.host.text(), Join(change.applied),
                Join(change.after_restart));
 }
 
@@ -291,7 +295,7 @@
                  links.frames_dropped);
   }
   out << "# TYPE damasktack_zone_drained gauge\n";
-  for (const ZoneId& it : DrainedZonesInForce()) {
+  for (const ZoneId& it : GetDrainedZones()) {
     out << "damasktack_zone_drained{zone=\"" << it.text() << "\"} 1\n";
   }
   out << "# TYPE damasktack_store_reader gauge\n"
--- a/main/store_daemon.h
+++ b/main/store_daemon.h
@@ -16,20 +16,22 @@
 
 namespace damasktack {
 
-// One entry host of a deployment that publishes routes and endpoints in a
-// key-value store: callers, endpoints, the reader and the open part of the
-// administration API.
+// The load balancer daemon of one host, for deployments that publish routes and
+// endpoints in a key-value store. Serves callers, calls endpoints, reads the
+// store and offers the public part of the administration API.
 class StoreDaemon : public AdminSource, private PublishedLoopEvents {
  public:
   explicit StoreDaemon(Settings settings);
   ~StoreDaemon() override;
 
   leaf::result<void> Start();
-  // Graceful stop: readiness off, the lag, every call in flight, then the end.
+  // Stops gracefully: reports "not ready", serves on for the configured lag,
+  // finishes all calls in flight, then ends.
   void Stop();
-  // Takes in what a running host can (main/settings_snapshot.h) without cutting
-  // a call, and logs what waits for a restart. On the thread that calls Stop.
-  void Reload(const Settings& wanted);
+  // Applies the settings that can be changed in a running host (see
+  // main/settings_snapshot.h) without aborting a call, and logs those that need
+  // a restart. Must be called on the thread that calls Stop.
+  void Reload(const Settings& new_settings);
 
   std::uint16_t caller_port() const { return callers_.port(); }
 
@@ -49,10 +51,10 @@
   void OnPublished(const PublishedState& state) override;
   void StopPublished();
   void LogChange(const PublishedState& state) const;
-  void KeepDrainedZones(const PublishedState& state);
-  std::vector<ZoneId> DrainedZonesInForce() const;
+  void SetDrainedZones(const PublishedState& state);
+  std::vector<ZoneId> GetDrainedZones() const;
 
-  // Other threads read what Reload leaves alone.
+  // Other threads read only the settings that Reload does not change.
   Settings settings_;
   OpenLimitGate limits_;
   OpenClaimGate claims_;
@@ -61,10 +63,11 @@
   AdminServer admin_;
   KvClient source_;
   PublishedLoop published_;
-  // Null where this host runs alone.
+  // Null if this host runs without peers.
   std::unique_ptr<WebsocketTransport> transport_;
   const TimePoint started_at_ = Clock::now();
-  // Routes are known, so that an unknown path can be told from an unread one.
+  // Whether routes have been loaded. Distinguishes an unknown path from routes
+  // that have not been read yet.
   std::atomic<bool> has_routes_ = false;
   mutable std::mutex drained_zones_mutex_;
   std::vector<ZoneId> drained_zones_;
--- a/main/text_table.cc
+++ b/main/text_table.cc
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr auto kMissing = "-";
-constexpr std::size_t kGap = 2;
+constexpr std::size_t kColumnGap = 2;
 
-std::string Shortened(double number, const char* unit) {
+std::string FormatNumber(double number, const char* unit) {
   std::array<char, 32> buf{};
   std::snprintf(buf.data(), buf.size(), "%.3g%s", number, unit);
   return buf.data();
@@ -38,7 +38,7 @@
   for (const auto& row : rows_) {
     std::string line;
     for (std::size_t n = 0; n < row.size(); ++n) {
-      line += row[n] + std::string(widths[n] - row[n].size() + kGap, ' ');
+      line += row[n] + std::string(widths[n] - row[n].size() + kColumnGap, ' ');
     }
     line.erase(line.find_last_not_of(' ') + 1);
     out << line << "\n";
@@ -58,7 +58,7 @@
     return ShortTime(value.get<double>());
   }
   if (value.is_number_float()) {
-    return Shortened(value.get<double>(), "");
+    return FormatNumber(value.get<double>(), "");
   }
   return value.dump();
 }
@@ -68,18 +68,18 @@
   constexpr double kMinute = 60e6;
   constexpr double kHour = 3600e6;
   if (microseconds < kThousand) {
-    return Shortened(microseconds, "us");
+    return FormatNumber(microseconds, "us");
   }
   if (microseconds < kThousand * kThousand) {
-    return Shortened(microseconds / kThousand, "ms");
+    return FormatNumber(microseconds / kThousand, "ms");
   }
   if (microseconds < kMinute) {
-    return Shortened(microseconds / kThousand / kThousand, "s");
+    return FormatNumber(microseconds / kThousand / kThousand, "s");
   }
   if (microseconds < kHour) {
-    return Shortened(microseconds / kMinute, "min");
+    return FormatNumber(microseconds / kMinute, "min");
   }
-  return Shortened(microseconds / kHour, "h");
+  return FormatNumber(microseconds / kHour, "h");
 }
 
 }  // namespace damasktack
--- a/main/text_table.h
+++ b/main/text_table.h
@@ -9,7 +9,7 @@
 
 namespace damasktack {
 
-// Lines of a table in the terminal, each column as wide as its widest cell.
+// A text table for the terminal; each column is as wide as its widest cell.
 class TextTable {
  public:
   explicit TextTable(std::vector<std::string> titles);
@@ -23,11 +23,11 @@
   std::vector<std::vector<std::string>> rows_;
 };
 
-// A member of an answer as a cell: "-" where it is missing or null, a time in
-// a handy unit where the key ends in "_us".
+// Returns a JSON member as the text of a cell: "-" if it is missing or null; a
+// time with a suitable unit if the key ends in "_us".
 std::string CellOf(const Json& json, const std::string& key);
 
-// "1.25ms" for 1250.
+// Formats a time with a suitable unit, as in "1.25ms" for 1250.
 std::string ShortTime(double microseconds);
 
 }  // namespace damasktack
--- a/main/time_histogram.h
+++ b/main/time_histogram.h
@@ -9,19 +9,19 @@
 
 namespace damasktack {
 
-// Call times from the answers of several hosts, added up. Every host has the
-// same bins, so that bins with the same start hold the same times.
+// Histogram of call durations, summed over the responses of several hosts. All
+// hosts use the same bins, so that bins with the same lower end can be added.
 class TimeHistogram {
  public:
-  // Adds bins as the administration API renders them; what cannot be read
-  // counts as empty.
+  // Adds bins in the format of the administration API; malformed bins are
+  // counted as empty.
   void Add(const Json& bins);
 
   std::uint64_t count() const { return count_; }
-  // The upper end of the bin that holds the quantile, in microseconds; 0
-  // where nothing was counted.
-  double Quantile(double part) const;
-  // One line for each fifth of a decade, with a bar.
+  // Returns the upper end of the bin that holds the quantile, in microseconds;
+  // 0 if nothing was counted.
+  double Quantile(double fraction) const;
+  // Draws one line with a bar for each fifth of a decade.
   void Draw(std::ostream& out) const;
 
  private:
@@ -30,7 +30,7 @@
     std::uint64_t count = 0;
   };
 
-  // By lower end, in microseconds.
+  // Bins by lower end, in microseconds.
   std::map<std::int64_t, Bin> bins_;
   std::uint64_t count_ = 0;
 };
--- a/main/version.h
+++ b/main/version.h
@@ -5,7 +5,8 @@
 
 namespace damasktack {
 
-// Of the whole release; the same in CMakeLists.txt and CHANGELOG.md.
+// Version of the release; must equal the one in CMakeLists.txt and
+// CHANGELOG.md.
 inline constexpr std::string_view kVersion = "0.1.0";
 
 }  // namespace damasktack
--- a/tests/main/test_settings.cc
+++ b/tests/main/test_settings.cc
@@ -64,7 +64,7 @@
 // say what is in force now and what is not, and must not show a key.
 TEST_CASE("changed settings are told by whether a running host takes them in") {
   const Settings running = Parsed(SoundWithStore());
-  CHECK(CompareSettings(running, running).taken.empty());
+  CHECK(CompareSettings(running, running).applied.empty());
   CHECK(CompareSettings(running, running).after_restart.empty());
   Json json = SoundWithStore();
   json["fleet"]["seeds"] = Json::array({"10.0.0.1:8544"});
@@ -72,7 +72,7 @@
   json["stop"] = Json{{"lag", "3s"}};
   json["proxy"]["threads"] = 4;
   const SettingsChange change = CompareSettings(running, Parsed(json));
-  CHECK(change.taken == std::vector<std::string>{"fleet.seeds", "stop.lag"});
+  CHECK(change.applied == std::vector<std::string>{"fleet.seeds", "stop.lag"});
   CHECK(change.after_restart ==
         std::vector<std::string>{"proxy.threads", "fleet.key"});
 }
