--- a/admin/bounded_task_queue.cc
+++ b/admin/bounded_task_queue.cc
@@ -4,8 +4,8 @@
 
 namespace damasktack {
 
-BoundedTaskQueue::BoundedTaskQueue(std::size_t threads, std::size_t most_queued)
-    : most_queued_(most_queued) {
+BoundedTaskQueue::BoundedTaskQueue(std::size_t threads, std::size_t max_queued)
+    : max_queued_(max_queued) {
   for (std::size_t n = 0; n < threads; ++n) {
     threads_.emplace_back([this] { RunWorker(); });
   }
@@ -18,7 +18,7 @@
 void BoundedTaskQueue::enqueue(std::function<void()> task) {
   std::unique_lock lock(mutex_);
   changed_.wait(lock,
-                [this] { return stopping_ || queued_.size() < most_queued_; });
+                [this] { return stopping_ || queued_.size() < max_queued_; });
   // Queued also while stopping: the task owns a connection and has to close it.
   queued_.push_back(std::move(task));
   changed_.notify_all();
--- a/admin/bounded_task_queue.h
+++ b/admin/bounded_task_queue.h
@@ -19,7 +19,7 @@
 // stay in the kernel's backlog, which is bounded.
 class BoundedTaskQueue : public httplib::TaskQueue {
  public:
-  BoundedTaskQueue(std::size_t threads, std::size_t most_queued);
+  BoundedTaskQueue(std::size_t threads, std::size_t max_queued);
   ~BoundedTaskQueue() override;
 
   void enqueue(std::function<void()> task) override;
@@ -28,7 +28,7 @@
  private:
   void RunWorker();
 
-  const std::size_t most_queued_;
+  const std::size_t max_queued_;
   std::mutex mutex_;
   std::condition_variable changed_;
   std::deque<std::function<void()>> queued_;
--- a/bench/admission_bench.cc
+++ b/bench/admission_bench.cc
@@ -40,10 +40,10 @@
   bool flat = false;
 };
 
-BalancerOptions WithoutReservation(double most_load) {
+BalancerOptions WithoutReservation(double max_load) {
   BalancerOptions options;
   options.reservation.spare = {0, 0, 0};
-  options.reservation.most_load = {most_load, most_load, most_load};
+  options.reservation.max_load = {max_load, max_load, max_load};
   return options;
 }
 
--- a/bench/admission_retry_bench.cc
+++ b/bench/admission_retry_bench.cc
@@ -81,7 +81,7 @@
       end.endpoint = *endpoint;
       end.result = answer.result;
       end.took = milliseconds(1);
-      end.retried_deeper = answer.has_outcome;
+      end.retried_downstream = answer.has_outcome;
       end.sends = sends;
       if (balancer.Finish(offer, end, now_, out) == AfterSend::kDone) {
         answer.has_outcome = passing_.outcome;
--- a/bench/decision_simulation.cc
+++ b/bench/decision_simulation.cc
@@ -196,7 +196,7 @@
         continue;
       }
       const PickRequest request{
-          static_cast<Urgency>(kind), options_.most_load[kind], {}};
+          static_cast<Urgency>(kind), options_.max_load[kind], {}};
       const auto picked = it.table.Pick(request, ToTime(now_), random_);
       if (!picked) {
         break;
--- a/bench/decision_simulation.h
+++ b/bench/decision_simulation.h
@@ -34,7 +34,7 @@
   // Also sends this many probes with every call, outside any budget.
   int probes_per_call = 0;
   // By class: what a call lets an endpoint's load add up to.
-  std::array<double, kUrgencyCount> most_load = {1.5, 1.34, 1.0};
+  std::array<double, kUrgencyCount> max_load = {1.5, 1.34, 1.0};
   Duration length = std::chrono::seconds(20);
   std::uint64_t seed = 1;
 };
--- a/bench/limit_share_bench.cc
+++ b/bench/limit_share_bench.cc
@@ -4,7 +4,7 @@
 #include <cstdio>
 #include <memory>
 
-#include "fleet/limit_ledger.h"
+#include "fleet/limit_allocator.h"
 #include "fleet/peer_codec.h"
 #include "tests/fleet/fake_fleet.h"
 
@@ -25,10 +25,10 @@
 
 void Measure(std::int64_t rate, std::size_t entries) {
   const Contract contract = MakeContract(rate);
-  FakeFleet<LimitLedger> fleet(
+  FakeFleet<LimitAllocator> fleet(
       kHosts, 1, [&](HostId id, Incarnation incarnation) {
         auto ledger =
-            std::make_unique<LimitLedger>(id, incarnation, LimitOptions());
+            std::make_unique<LimitAllocator>(id, incarnation, LimitOptions());
         ledger->SetContracts({contract}, {});
         return ledger;
       });
--- a/bench/load_experiment_bench.cc
+++ b/bench/load_experiment_bench.cc
@@ -166,7 +166,7 @@
   } else if (is_number && name == "retry_slack") {
     options.retries.fleet_slack = number;
   } else if (is_number && name == "most_refused") {
-    options.retries.most_refused = number;
+    options.retries.max_refused = number;
   } else if (is_number && name == "group") {
     options.preference.group = static_cast<std::size_t>(number);
   } else if (is_number && name == "cold_overshoot") {
@@ -301,7 +301,8 @@
     std::cout << described;
     return 0;
   }
-  const std::optional<Error> fault = FaultOf([&] { return Run(arguments); });
+  const std::optional<Error> fault =
+      CaptureError([&] { return Run(arguments); });
   if (fault) {
     std::cerr << ToString(*fault) << "\n";
     return 1;
--- a/bench/proxy_bench.cc
+++ b/bench/proxy_bench.cc
@@ -118,8 +118,8 @@
     endpoint.slots = 64;
     service.endpoints.push_back(endpoint);
   }
-  return std::make_shared<RoutingTable>(ContractBook{1, {contract}},
-                                        ServiceBook{1, {service}});
+  return std::make_shared<RoutingTable>(ContractList{1, {contract}},
+                                        ServiceList{1, {service}});
 }
 
 void RunProxy(std::uint16_t endpoint_port, std::int64_t threads) {
--- a/bench/quarantine_bench.cc
+++ b/bench/quarantine_bench.cc
@@ -6,7 +6,7 @@
 
 #include <string>
 
-#include "policy/crash_ledger.h"
+#include "policy/crash_tracker.h"
 
 namespace damasktack {
 namespace {
@@ -14,8 +14,8 @@
 constexpr std::uint64_t kSeed = 1;
 constexpr std::uint64_t kSuspectsPerCrash = 6;
 
-CrashLedger LedgerWith(std::int64_t crashes, TimePoint now) {
-  CrashLedger ledger({}, kSeed);
+CrashTracker LedgerWith(std::int64_t crashes, TimePoint now) {
+  CrashTracker ledger({}, kSeed);
   std::uint64_t request = 0;
   for (std::int64_t n = 0; n < crashes; ++n) {
     const EndpointProcess endpoint{EndpointId("e" + std::to_string(n)), {}};
@@ -29,7 +29,7 @@
 // A request that nothing speaks against is judged, sent, and answered.
 void BM_Innocent(benchmark::State& state) {
   const TimePoint now = TimePoint() + std::chrono::hours(10);
-  CrashLedger ledger = LedgerWith(state.range(0), now);
+  CrashTracker ledger = LedgerWith(state.range(0), now);
   RequestFingerprint request{~0ULL};
   for (auto _ : state) {
     benchmark::DoNotOptimize(ledger.Judge(request, now));
--- a/contract/contract.cc
+++ b/contract/contract.cc
@@ -90,7 +90,7 @@
   return kUrgencyNames[static_cast<std::size_t>(urgency)];
 }
 
-std::string_view ToString(ShortageTreatment policy) {
+std::string_view ToString(OverloadPolicy policy) {
   return kOverloadPolicyNames[static_cast<std::size_t>(policy)];
 }
 
@@ -98,7 +98,7 @@
                                      const std::string& path) {
   Contract contract;
   std::string customer;
-  auto policy = static_cast<std::size_t>(ShortageTreatment::kWait);
+  auto policy = static_cast<std::size_t>(OverloadPolicy::kWait);
   JsonReader reader(json, path);
   reader.Read("customer", customer);
   reader.ReadOptional("key_sha256", contract.key_sha256);
@@ -128,7 +128,7 @@
   }
   BOOST_LEAF_CHECK(reader.Finish());
   contract.customer = CustomerId(customer);
-  contract.when_short = static_cast<ShortageTreatment>(policy);
+  contract.overload_policy = static_cast<OverloadPolicy>(policy);
   BOOST_LEAF_CHECK(CheckContract(contract, path));
   return contract;
 }
@@ -144,7 +144,7 @@
   return Json{{"customer", contract.customer.text()},
               {"key_sha256", contract.key_sha256},
               {"share", contract.share},
-              {"when_short", ToString(contract.when_short)},
+              {"when_short", ToString(contract.overload_policy)},
               {"limits", limits},
               {"retry_percent", contract.retry_percent},
               {"requests", requests}};
--- a/contract/contract.h
+++ b/contract/contract.h
@@ -19,13 +19,13 @@
 std::string_view ToString(Urgency urgency);
 
 // What happens to a customer's call when no endpoint has free capacity.
-enum class ShortageTreatment : std::uint8_t {
+enum class OverloadPolicy : std::uint8_t {
   // The call waits for a slot until its deadline.
   kWait,
   // The call is rejected at once and reported as not run.
   kShed,
 };
-std::string_view ToString(ShortageTreatment policy);
+std::string_view ToString(OverloadPolicy policy);
 
 // Limits on one customer's traffic; 0 means "no limit". Except for
 // `waiting_per_host` they apply to all hosts together.
@@ -67,7 +67,7 @@
   std::vector<std::string> key_sha256;
   // Scheduling weight relative to other customers' calls of the same urgency.
   std::int64_t share = 1;
-  ShortageTreatment when_short = ShortageTreatment::kWait;
+  OverloadPolicy overload_policy = OverloadPolicy::kWait;
   CustomerLimits limits;
   // Retries allowed, as a percentage of first attempts.
   std::int64_t retry_percent = 10;
--- a/contract/contract_check.cc
+++ b/contract/contract_check.cc
@@ -208,8 +208,8 @@
   return {};
 }
 
-leaf::result<void> CheckReferences(const ContractBook& contracts,
-                                   const ServiceBook& services) {
+leaf::result<void> CheckReferences(const ContractList& contracts,
+                                   const ServiceList& services) {
   std::set<ServiceId> known;
   std::string remedy = "publish the service first, or use one of:";
   for (const ServiceSpec& it : services.services) {
--- a/contract/contract_check.h
+++ b/contract/contract_check.h
@@ -32,8 +32,8 @@
 // Checks that every service referenced by a contract is published. A daemon
 // does not reject contracts for this, since the two documents are updated one
 // after the other; operators run the check before publishing.
-leaf::result<void> CheckReferences(const ContractBook& contracts,
-                                   const ServiceBook& services);
+leaf::result<void> CheckReferences(const ContractList& contracts,
+                                   const ServiceList& services);
 
 }  // namespace damasktack
 
--- a/contract/contract_diff.cc
+++ b/contract/contract_diff.cc
@@ -116,8 +116,8 @@
   FieldChangeCollector fields;
   fields.Compare("share", std::to_string(before.share),
                  std::to_string(after.share));
-  fields.Compare("when_short", std::string(ToString(before.when_short)),
-                 std::string(ToString(after.when_short)));
+  fields.Compare("when_short", std::string(ToString(before.overload_policy)),
+                 std::string(ToString(after.overload_policy)));
   fields.Compare("limits.calls_per_second",
                  FormatLimit(before.limits.calls_per_second),
                  FormatLimit(after.limits.calls_per_second));
@@ -169,8 +169,8 @@
       if (same && change.share_before == change.share_after) {
         continue;
       }
-      change.kind =
-          same ? ContractChangeKind::kDisplaced : ContractChangeKind::kChanged;
+      change.kind = same ? ContractChangeKind::kShareChanged
+                         : ContractChangeKind::kChanged;
     }
     changes.push_back(std::move(change));
   }
--- a/contract/contract_diff.h
+++ b/contract/contract_diff.h
@@ -26,7 +26,7 @@
   kChanged,
   // The customer's contract is unchanged, but the sum of all shares differs, so
   // the customer's part of the capacity under full load changes.
-  kDisplaced,
+  kShareChanged,
 };
 std::string_view ToString(ContractChangeKind kind);
 
--- a/contract/document.cc
+++ b/contract/document.cc
@@ -12,11 +12,11 @@
     "contracts", "services", "hosts"};
 
 leaf::result<Json> ParseBody(const Document& document) {
-  if (document.body.size() > kLargestDocument) {
+  if (document.body.size() > kMaxDocumentBytes) {
     return Fail(
         ErrorKind::kTooLarge, std::string(ToString(document.name)),
         std::to_string(document.body.size()) + " bytes",
-        "publish at most " + std::to_string(kLargestDocument) + " bytes");
+        "publish at most " + std::to_string(kMaxDocumentBytes) + " bytes");
   }
   return ParseJson(document.body, ToString(document.name));
 }
@@ -46,16 +46,16 @@
   return kDocumentNames[static_cast<std::size_t>(name)];
 }
 
-leaf::result<ContractBook> ParseContracts(const Document& document) {
+leaf::result<ContractList> ParseContracts(const Document& document) {
   BOOST_LEAF_AUTO(contracts, ParseList<Contract>(document, ParseContract));
   BOOST_LEAF_CHECK(CheckContractList(contracts));
-  return ContractBook{document.revision, std::move(contracts)};
+  return ContractList{document.revision, std::move(contracts)};
 }
 
-leaf::result<ServiceBook> ParseServices(const Document& document) {
+leaf::result<ServiceList> ParseServices(const Document& document) {
   BOOST_LEAF_AUTO(services, ParseList<ServiceSpec>(document, ParseService));
   BOOST_LEAF_CHECK(CheckServiceList(services));
-  return ServiceBook{document.revision, std::move(services)};
+  return ServiceList{document.revision, std::move(services)};
 }
 
 leaf::result<HostList> ParseHosts(const Document& document) {
--- a/contract/document.h
+++ b/contract/document.h
@@ -29,14 +29,14 @@
   bool operator==(const Document&) const = default;
 };
 
-inline constexpr std::size_t kLargestDocument = 1'000'000;
+inline constexpr std::size_t kMaxDocumentBytes = 1'000'000;
 
-struct ContractBook {
+struct ContractList {
   Revision revision = 0;
   std::vector<Contract> contracts;
 };
 
-struct ServiceBook {
+struct ServiceList {
   Revision revision = 0;
   std::vector<ServiceSpec> services;
 };
@@ -48,8 +48,8 @@
 
 // Parse and validate a whole document. The first error rejects the entire
 // document, so that the last valid one stays in force.
-leaf::result<ContractBook> ParseContracts(const Document& document);
-leaf::result<ServiceBook> ParseServices(const Document& document);
+leaf::result<ContractList> ParseContracts(const Document& document);
+leaf::result<ServiceList> ParseServices(const Document& document);
 leaf::result<HostList> ParseHosts(const Document& document);
 
 }  // namespace damasktack
--- a/contract/protocol_names.h
+++ b/contract/protocol_names.h
@@ -66,16 +66,16 @@
   std::vector<std::string> endpoint_prefixes{"Endpoint-"};
   // Prefix of damasktack's own request headers, which are not passed on to
   // endpoints.
-  std::string own_prefix = "Damasktack-";
+  std::string own_header_prefix = "Damasktack-";
 
   // Callers assign the call IDs and endpoints echo them.
-  bool callers_name_calls = false;
+  bool callers_assign_call_ids = false;
   // An endpoint may send duplicate responses. A response that carries another
   // call's ID is skipped, since the call's own response may follow.
-  bool answers_may_be_doubled = false;
+  bool may_duplicate_responses = false;
   // A response without a length ends when the connection is closed in order; a
   // reset means that it was truncated.
-  bool answers_may_end_with_connection = false;
+  bool response_may_end_at_close = false;
   // Retry-After may be a fraction of a second.
   bool fractional_retry_after = false;
   // Idle caller connections are closed without a response, because callers know
@@ -83,7 +83,7 @@
   bool closes_idle_silently = false;
   // The load header has the positional form "running,waiting,slots[,pace]"
   // instead of damasktack's list of names and values.
-  bool load_is_list = false;
+  bool positional_load_header = false;
 };
 
 }  // namespace damasktack
--- a/contract/route.cc
+++ b/contract/route.cc
@@ -8,12 +8,12 @@
 
 namespace {
 
-bool IsService(const RouteBook& table, const ServiceId& id) {
+bool IsService(const RouteTable& table, const ServiceId& id) {
   return std::ranges::any_of(
       table.services, [&](const ServiceTraits& it) { return it.id == id; });
 }
 
-leaf::result<void> CheckTargets(const RouteBook& table,
+leaf::result<void> CheckTargets(const RouteTable& table,
                                 const Route& route,
                                 const std::string& where) {
   std::int64_t sum = 0;
@@ -37,7 +37,7 @@
   return {};
 }
 
-leaf::result<void> CheckRoute(const RouteBook& table, const Route& route) {
+leaf::result<void> CheckRoute(const RouteTable& table, const Route& route) {
   const std::string where = "route " + route.contract.customer.text();
   if (route.host.empty()) {
     return Fail(ErrorKind::kMissingKey, where, "no host",
@@ -51,9 +51,9 @@
     return Fail(ErrorKind::kOutOfRange, where, "no timeout",
                 "give the route a timeout above 0");
   }
-  if (route.most_sends < 1) {
+  if (route.attempt_limit < 1) {
     return Fail(ErrorKind::kOutOfRange, where,
-                std::to_string(route.most_sends) + " sends",
+                std::to_string(route.attempt_limit) + " sends",
                 "allow at least one send");
   }
   return CheckTargets(table, route, where);
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-leaf::result<void> CheckRouteBook(const RouteBook& table) {
+leaf::result<void> CheckRouteTable(const RouteTable& table) {
   if (table.version == 0) {
     return Fail(ErrorKind::kMissingKey, "route table", "no version",
                 "publish a version above 0");
@@ -72,7 +72,8 @@
   return {};
 }
 
-void RankByService(RouteBook& table, const std::vector<std::int64_t>& ranks) {
+void AssignUrgencies(RouteTable& table,
+                     const std::vector<std::int64_t>& ranks) {
   // Collects the ranks that compete at each service first. Comparing each route
   // with every other one took half of the time in which a host reads a table of
   // 1,600 routes.
--- a/contract/route.h
+++ b/contract/route.h
@@ -37,7 +37,7 @@
   Duration latency_objective = std::chrono::seconds(1);
   // Maximum number of endpoints that one request is sent to, one after the
   // other.
-  int most_sends = 2;
+  int attempt_limit = 2;
   // Regions in which the route's requests may run; an empty list allows every
   // region.
   std::vector<RegionId> allowed_regions;
@@ -77,26 +77,26 @@
 };
 
 // All routes of one published version.
-struct RouteBook {
+struct RouteTable {
   // Increases with each change, not necessarily by 1.
   std::uint64_t version = 0;
   std::vector<Route> routes;
   std::vector<ServiceTraits> services;
   CallerLimits limits;
 
-  bool operator==(const RouteBook&) const = default;
+  bool operator==(const RouteTable&) const = default;
 };
 
 // Validates a route table. Rejects a route without a host or whose prefix does
 // not start and end with '/', a route without a target of positive weight, a
 // target that is not a service of the table, a timeout that is not above 0, and
 // a table without a version.
-leaf::result<void> CheckRouteBook(const RouteBook& table);
+leaf::result<void> CheckRouteTable(const RouteTable& table);
 
 // Sets each route's urgency from its entry in `ranks`, where a lower rank is
 // served first. A rank is compared only with the ranks of routes to the same
 // services, because requests compete only within a service.
-void RankByService(RouteBook& table, const std::vector<std::int64_t>& ranks);
+void AssignUrgencies(RouteTable& table, const std::vector<std::int64_t>& ranks);
 
 // One endpoint as published by the platform.
 struct PublishedEndpoint {
--- a/contract/route_book_change.cc
+++ b/contract/route_table_delta.cc
@@ -1,4 +1,4 @@
-#include "contract/route_book_change.h"
+#include "contract/route_table_delta.h"
 
 #include <map>
 #include <utility>
@@ -11,7 +11,7 @@
   return {route.host, route.prefix};
 }
 
-std::map<RouteKey, const Route*> ByKey(const RouteBook& table) {
+std::map<RouteKey, const Route*> ByKey(const RouteTable& table) {
   std::map<RouteKey, const Route*> routes;
   for (const Route& it : table.routes) {
     routes.emplace(KeyOf(it), &it);
@@ -21,8 +21,9 @@
 
 }  // namespace
 
-RouteBookChange CompareBooks(const RouteBook& base, const RouteBook& table) {
-  RouteBookChange delta;
+RouteTableDelta DiffRouteTables(const RouteTable& base,
+                                const RouteTable& table) {
+  RouteTableDelta delta;
   delta.base_version = base.version;
   delta.version = table.version;
   delta.services = table.services;
@@ -43,7 +44,7 @@
   return delta;
 }
 
-RouteBook ApplyChange(const RouteBook& base, const RouteBookChange& delta) {
+RouteTable ApplyChange(const RouteTable& base, const RouteTableDelta& delta) {
   std::map<RouteKey, const Route*> routes = ByKey(base);
   for (const Route& it : delta.changed) {
     routes[KeyOf(it)] = &it;
@@ -51,7 +52,7 @@
   for (const RouteKey& it : delta.removed) {
     routes.erase(it);
   }
-  RouteBook table;
+  RouteTable table;
   table.version = delta.version;
   table.services = delta.services;
   table.limits = delta.limits;
--- a/contract/route_book_change.h
+++ b/contract/route_table_delta.h
@@ -1,5 +1,5 @@
-#ifndef CONTRACT_ROUTE_BOOK_CHANGE_H_
-#define CONTRACT_ROUTE_BOOK_CHANGE_H_
+#ifndef CONTRACT_ROUTE_TABLE_DELTA_H_
+#define CONTRACT_ROUTE_TABLE_DELTA_H_
 
 #include <cstdint>
 #include <string>
@@ -20,7 +20,7 @@
 // Delta from one version of a route table to a later one. A table of 1,600
 // routes takes 300 KB and changes by a few routes at a time; sending it whole
 // to each host would occupy a 10 Mbit/s link for a quarter of a second.
-struct RouteBookChange {
+struct RouteTableDelta {
   std::uint64_t base_version = 0;
   std::uint64_t version = 0;
   // Routes that were added or that differ.
@@ -30,18 +30,19 @@
   std::vector<ServiceTraits> services;
   CallerLimits limits;
 
-  bool operator==(const RouteBookChange&) const = default;
+  bool operator==(const RouteTableDelta&) const = default;
 };
 
 // Returns the delta between two route tables. Routes are identified by host and
 // prefix; of two routes with the same key the first one counts, as it does when
 // requests are matched.
-RouteBookChange CompareBooks(const RouteBook& base, const RouteBook& table);
+RouteTableDelta DiffRouteTables(const RouteTable& base,
+                                const RouteTable& table);
 
 // Returns `base` with `delta` applied; its routes are sorted by key. The
 // caller must have checked that the version of `base` is `delta.base_version`.
-RouteBook ApplyChange(const RouteBook& base, const RouteBookChange& delta);
+RouteTable ApplyChange(const RouteTable& base, const RouteTableDelta& delta);
 
 }  // namespace damasktack
 
-#endif  // CONTRACT_ROUTE_BOOK_CHANGE_H_
+#endif  // CONTRACT_ROUTE_TABLE_DELTA_H_
--- a/contract/service.h
+++ b/contract/service.h
@@ -40,7 +40,7 @@
   TimePoint cold_until{};
 
   // Returns whether the published state allows new calls to this endpoint.
-  bool MayTakeCalls() const {
+  bool AcceptsNewCalls() const {
     return state == ListedState::kLive && !zone_drained;
   }
 
--- a/core/bound_chart.cc
+++ b/core/bound_chart.cc
@@ -9,7 +9,7 @@
   const std::string where = "chart " + std::string(chart);
   for (const std::string_view name : in_code) {
     if (std::ranges::find(in_chart, name) == in_chart.end()) {
-      return Fail(ErrorKind::kUnsoundChart, where,
+      return Fail(ErrorKind::kInvalidChart, where,
                   std::string(what) + " \"" + std::string(name) +
                       "\" in the code alone",
                   "add it to the chart or remove it from the enum");
@@ -17,7 +17,7 @@
   }
   for (const std::string& name : in_chart) {
     if (std::ranges::find(in_code, name) == in_code.end()) {
-      return Fail(ErrorKind::kUnsoundChart, where,
+      return Fail(ErrorKind::kInvalidChart, where,
                   std::string(what) + " \"" + name + "\" in the chart alone",
                   "add it to the enum or remove it from the chart");
     }
--- a/core/error.cc
+++ b/core/error.cc
@@ -21,7 +21,7 @@
     KindName{ErrorKind::kInvalidAddress, "invalid-address"},
     KindName{ErrorKind::kDuplicate, "duplicate"},
     KindName{ErrorKind::kUnknownReference, "unknown-reference"},
-    KindName{ErrorKind::kUnsoundChart, "unsound-chart"},
+    KindName{ErrorKind::kInvalidChart, "unsound-chart"},
     KindName{ErrorKind::kFileUnreadable, "file-unreadable"},
     KindName{ErrorKind::kUnreachable, "unreachable"},
     KindName{ErrorKind::kTimeout, "timeout"},
--- a/core/error.h
+++ b/core/error.h
@@ -24,7 +24,7 @@
   kInvalidAddress,
   kDuplicate,
   kUnknownReference,
-  kUnsoundChart,
+  kInvalidChart,
   kFileUnreadable,
   kUnreachable,
   kTimeout,
@@ -82,7 +82,7 @@
 // if it succeeds. For code that converts an error to another form: if a LEAF
 // handler itself fails, LEAF replaces the new error by the old one.
 template <typename Body>
-std::optional<Error> FaultOf(Body&& body) {
+std::optional<Error> CaptureError(Body&& body) {
   return Try(
       [&]() -> leaf::result<std::optional<Error>> {
         BOOST_LEAF_CHECK(std::forward<Body>(body)());
--- a/core/state_chart.cc
+++ b/core/state_chart.cc
@@ -28,7 +28,7 @@
 leaf::error_id InvalidChart(std::string_view where,
                             std::string found,
                             std::string remedy) {
-  return Fail(ErrorKind::kUnsoundChart, std::string(where), std::move(found),
+  return Fail(ErrorKind::kInvalidChart, std::string(where), std::move(found),
               std::move(remedy));
 }
 
--- a/core/tcp_liveness.cc
+++ b/core/tcp_liveness.cc
@@ -19,7 +19,8 @@
 
 }  // namespace
 
-void EndLostConnection(int socket, std::chrono::milliseconds unacknowledged) {
+void EnableLostConnectionDetection(int socket,
+                                   std::chrono::milliseconds unacknowledged) {
   SetOption(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
   SetOption(socket, IPPROTO_TCP, TCP_KEEPIDLE, kIdleSeconds);
   SetOption(socket, IPPROTO_TCP, TCP_KEEPINTVL, kIntervalSeconds);
--- a/core/tcp_liveness.h
+++ b/core/tcp_liveness.h
@@ -11,7 +11,8 @@
 // for `unacknowledged`, an idle one about two seconds after the path was lost.
 // A slow peer process does not count, since its kernel still acknowledges.
 // Costs no wake-ups of this process.
-void EndLostConnection(int socket, std::chrono::milliseconds unacknowledged);
+void EnableLostConnectionDetection(int socket,
+                                   std::chrono::milliseconds unacknowledged);
 
 }  // namespace damasktack
 
--- a/fleet/claim_router.cc
+++ b/fleet/claim_client.cc
@@ -1,4 +1,4 @@
-#include "fleet/claim_router.h"
+#include "fleet/claim_client.h"
 
 #include <xxhash.h>
 
@@ -22,18 +22,18 @@
 
 }  // namespace
 
-ClaimRouter::ClaimRouter(Incarnation incarnation, ClaimOptions options)
+ClaimClient::ClaimClient(Incarnation incarnation, ClaimOptions options)
     : options_(options), next_claim_(incarnation) {}
 
-void ClaimRouter::Claim(const ClaimRequest& request,
+void ClaimClient::Claim(const ClaimRequest& request,
                         Done done,
-                        ClaimKeeper& keepers,
+                        ClaimReplica& keepers,
                         TimePoint now,
                         Outbox& out) {
   // Without room to remember settlements a claim could never be ended.
   const bool full = unsettled_.size() + running_.size() + asking_.size() >=
-                    options_.most_unsettled;
-  if (full || request.key.size() > kLongestClaimKey) {
+                    options_.max_unsettled;
+  if (full || request.key.size() > kMaxClaimKeyBytes) {
     ++counters_.unavailable;
     done(ClaimReply{});
     return;
@@ -46,21 +46,21 @@
   asking.wish.claim = claim;
   asking.bucket = BucketOf(request.customer, request.key, options_.buckets);
   asking.done = std::move(done);
-  asking.until = std::min(request.deadline, now + options_.longest_claim);
+  asking.until = std::min(request.deadline, now + options_.claim_timeout);
   const auto it = asking_.emplace(claim, std::move(asking)).first;
   Send(it->second, keepers, now, out);
 }
 
-void ClaimRouter::Send(Asking& asking,
-                       ClaimKeeper& keepers,
+void ClaimClient::Send(Asking& asking,
+                       ClaimReplica& keepers,
                        TimePoint now,
                        Outbox& out) {
   asking.sent_at = now;
-  const auto& known = keepers.KnownKeepers(asking.bucket);
+  const auto& known = keepers.KnownReplicas(asking.bucket);
   if (!known) {
-    const HostId likely = keepers.LikelyKeeper(asking.bucket);
+    const HostId likely = keepers.LikelyPrimary(asking.bucket);
     if (!likely.empty()) {
-      out.Send(likely, ClaimAsk{asking.bucket, {}, asking.wish});
+      out.Send(likely, GrantRequest{asking.bucket, {}, asking.wish});
     }
     return;
   }
@@ -70,16 +70,16 @@
     asking.first_granted.reset();
   }
   const HostId& to = asking.first_granted ? known->second : known->first;
-  out.Send(to, ClaimAsk{asking.bucket, known->ballot, asking.wish});
+  out.Send(to, GrantRequest{asking.bucket, known->ballot, asking.wish});
 }
 
-void ClaimRouter::On(const Sender& sender,
-                     const ClaimAnswer& answer,
-                     ClaimKeeper& keepers,
+void ClaimClient::On(const Sender& sender,
+                     const GrantReply& answer,
+                     ClaimReplica& keepers,
                      TimePoint now,
                      Outbox& out) {
   if (answer.keepers) {
-    keepers.LearnKeepers(*answer.keepers);
+    keepers.LearnReplicas(*answer.keepers);
   }
   const auto it = asking_.find(answer.claim);
   if (it == asking_.end()) {
@@ -99,7 +99,7 @@
     return;
   }
   Asking& asking = it->second;
-  const auto& known = keepers.KnownKeepers(asking.bucket);
+  const auto& known = keepers.KnownReplicas(asking.bucket);
   if (!known || known->ballot != answer.ballot) {
     if (answer.keepers && asking.sent_at < now) {
       Send(asking, keepers, now, out);
@@ -128,7 +128,7 @@
   Send(asking, keepers, now, out);
 }
 
-void ClaimRouter::Finish(std::uint64_t claim, ClaimReply reply) {
+void ClaimClient::Finish(std::uint64_t claim, ClaimReply reply) {
   const auto it = asking_.find(claim);
   const Done done = std::move(it->second.done);
   asking_.erase(it);
@@ -152,8 +152,8 @@
   done(reply);
 }
 
-void ClaimRouter::Release(const ClaimRecord& wish,
-                          ClaimKeeper& keepers,
+void ClaimClient::Release(const ClaimRecord& wish,
+                          ClaimReplica& keepers,
                           TimePoint now,
                           Outbox& out) {
   ClaimRecord record = wish;
@@ -161,11 +161,11 @@
   AddUnsettled(std::move(record), keepers, now, out);
 }
 
-void ClaimRouter::Settle(const ClaimRequest& request,
+void ClaimClient::Settle(const ClaimRequest& request,
                          std::uint64_t claim,
                          Outcome outcome,
                          std::optional<KeptAnswer> answer,
-                         ClaimKeeper& keepers,
+                         ClaimReplica& keepers,
                          TimePoint now,
                          Outbox& out) {
   if (running_.erase(claim) == 0) {
@@ -178,15 +178,15 @@
   record.claim = claim;
   record.ended = outcome != Outcome::kNotRun;
   const bool keeps = outcome == Outcome::kComplete && answer &&
-                     answer->body.size() <= options_.largest_answer;
+                     answer->body.size() <= options_.max_answer_bytes;
   if (keeps) {
     record.answer = std::move(answer);
   }
   AddUnsettled(std::move(record), keepers, now, out);
 }
 
-void ClaimRouter::AddUnsettled(ClaimRecord record,
-                               ClaimKeeper& keepers,
+void ClaimClient::AddUnsettled(ClaimRecord record,
+                               ClaimReplica& keepers,
                                TimePoint now,
                                Outbox& out) {
   Unsettled unsettled;
@@ -199,12 +199,12 @@
   Send(it->second, keepers, now, out);
 }
 
-void ClaimRouter::Send(Unsettled& unsettled,
-                       ClaimKeeper& keepers,
+void ClaimClient::Send(Unsettled& unsettled,
+                       ClaimReplica& keepers,
                        TimePoint now,
                        Outbox& out) {
   unsettled.sent_at = now;
-  const auto& known = keepers.KnownKeepers(unsettled.bucket);
+  const auto& known = keepers.KnownReplicas(unsettled.bucket);
   if (!known) {
     return;
   }
@@ -223,20 +223,20 @@
   }
 }
 
-void ClaimRouter::On(const Sender& sender,
+void ClaimClient::On(const Sender& sender,
                      const ClaimSettled& settled,
-                     ClaimKeeper& keepers,
+                     ClaimReplica& keepers,
                      TimePoint now,
                      Outbox& out) {
   if (settled.keepers) {
-    keepers.LearnKeepers(*settled.keepers);
+    keepers.LearnReplicas(*settled.keepers);
   }
   const auto it = unsettled_.find(settled.claim);
   if (it == unsettled_.end()) {
     return;
   }
   Unsettled& unsettled = it->second;
-  const auto& known = keepers.KnownKeepers(unsettled.bucket);
+  const auto& known = keepers.KnownReplicas(unsettled.bucket);
   if (settled.refused || !known || known->ballot != settled.ballot ||
       unsettled.ballot != settled.ballot) {
     if (known && unsettled.ballot != known->ballot) {
@@ -251,7 +251,7 @@
   }
 }
 
-void ClaimRouter::Tick(ClaimKeeper& keepers, TimePoint now, Outbox& out) {
+void ClaimClient::Tick(ClaimReplica& keepers, TimePoint now, Outbox& out) {
   std::vector<std::uint64_t> late;
   for (auto& [claim, asking] : asking_) {
     if (asking.until <= now) {
--- a/fleet/claim_router.h
+++ b/fleet/claim_client.h
@@ -1,14 +1,14 @@
-#ifndef FLEET_CLAIM_ROUTER_H_
-#define FLEET_CLAIM_ROUTER_H_
+#ifndef FLEET_CLAIM_CLIENT_H_
+#define FLEET_CLAIM_CLIENT_H_
 
 #include <cstdint>
 #include <functional>
 #include <map>
 #include <optional>
 
-#include "fleet/claim_keeper.h"
 #include "fleet/claim_messages.h"
 #include "fleet/claim_options.h"
+#include "fleet/claim_replica.h"
 #include "fleet/fleet_module.h"
 
 namespace damasktack {
@@ -23,39 +23,39 @@
 
 // The claimant's side: asks the first and then the second keeper of a key, and
 // tells both how the claim ended until both have acknowledged it. Pure.
-class ClaimRouter {
+class ClaimClient {
  public:
   using Done = std::function<void(const ClaimReply&)>;
 
   // Claims are numbered from `incarnation`, which is drawn at random, so that
   // no two processes use the same number.
-  ClaimRouter(Incarnation incarnation, ClaimOptions options);
+  ClaimClient(Incarnation incarnation, ClaimOptions options);
 
   // `done` is called exactly once, later or at once.
   void Claim(const ClaimRequest& request,
              Done done,
-             ClaimKeeper& keepers,
+             ClaimReplica& keepers,
              TimePoint now,
              Outbox& out);
   void Settle(const ClaimRequest& request,
               std::uint64_t claim,
               Outcome outcome,
               std::optional<KeptAnswer> answer,
-              ClaimKeeper& keepers,
+              ClaimReplica& keepers,
               TimePoint now,
               Outbox& out);
 
   void On(const Sender& sender,
-          const ClaimAnswer& answer,
-          ClaimKeeper& keepers,
+          const GrantReply& answer,
+          ClaimReplica& keepers,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
           const ClaimSettled& settled,
-          ClaimKeeper& keepers,
+          ClaimReplica& keepers,
           TimePoint now,
           Outbox& out);
-  void Tick(ClaimKeeper& keepers, TimePoint now, Outbox& out);
+  void Tick(ClaimReplica& keepers, TimePoint now, Outbox& out);
 
   const ClaimCounters& counters() const { return counters_; }
   // Settlements that a keeper has not acknowledged yet.
@@ -83,19 +83,19 @@
     bool second_done = false;
   };
 
-  void Send(Asking& asking, ClaimKeeper& keepers, TimePoint now, Outbox& out);
+  void Send(Asking& asking, ClaimReplica& keepers, TimePoint now, Outbox& out);
   void Send(Unsettled& unsettled,
-            ClaimKeeper& keepers,
+            ClaimReplica& keepers,
             TimePoint now,
             Outbox& out);
   void Finish(std::uint64_t claim, ClaimReply reply);
   // Frees whatever part of the claim was won.
   void Release(const ClaimRecord& wish,
-               ClaimKeeper& keepers,
+               ClaimReplica& keepers,
                TimePoint now,
                Outbox& out);
   void AddUnsettled(ClaimRecord record,
-                    ClaimKeeper& keepers,
+                    ClaimReplica& keepers,
                     TimePoint now,
                     Outbox& out);
 
@@ -110,4 +110,4 @@
 
 }  // namespace damasktack
 
-#endif  // FLEET_CLAIM_ROUTER_H_
+#endif  // FLEET_CLAIM_CLIENT_H_
--- a/fleet/claim_exchange.cc
+++ b/fleet/claim_exchange.cc
@@ -72,7 +72,7 @@
 }
 
 void ClaimExchange::Claim(const ClaimRequest& request,
-                          ClaimRouter::Done done,
+                          ClaimClient::Done done,
                           TimePoint now,
                           Outbox& out) {
   Outbox sent;
--- a/fleet/claim_exchange.h
+++ b/fleet/claim_exchange.h
@@ -3,15 +3,15 @@
 
 #include <optional>
 
-#include "fleet/claim_keeper.h"
-#include "fleet/claim_router.h"
+#include "fleet/claim_client.h"
+#include "fleet/claim_replica.h"
 #include "fleet/fleet_module.h"
 
 namespace damasktack {
 
 // Claims as operators see them on one host.
 struct ClaimStatus {
-  ClaimKeeperStatus keeper;
+  ClaimReplicaStatus keeper;
   ClaimCounters claims;
   std::size_t asking = 0;
   std::size_t unsettled = 0;
@@ -34,7 +34,7 @@
   // To be called before each Tick.
   void SetCounted(CountedFleet counted);
   void Claim(const ClaimRequest& request,
-             ClaimRouter::Done done,
+             ClaimClient::Done done,
              TimePoint now,
              Outbox& out);
   void Settle(const ClaimRequest& request,
@@ -44,7 +44,7 @@
               TimePoint now,
               Outbox& out);
 
-  const ClaimKeeper& keeper() const { return keeper_; }
+  const ClaimReplica& keeper() const { return keeper_; }
   ClaimStatus Status() const;
 
  private:
@@ -56,8 +56,8 @@
                 Outbox& out);
 
   const Sender self_;
-  ClaimKeeper keeper_;
-  ClaimRouter router_;
+  ClaimReplica keeper_;
+  ClaimClient router_;
 };
 
 static_assert(FleetModule<ClaimExchange>);
--- a/fleet/claim_messages.cc
+++ b/fleet/claim_messages.cc
@@ -102,16 +102,16 @@
   return item;
 }
 
-Json ClaimKeepers::ToJson() const {
+Json ClaimReplicas::ToJson() const {
   return Json{{"bucket", bucket},
               {"ballot", ballot.ToJson()},
               {"first", first.text()},
               {"second", second.text()}};
 }
 
-leaf::result<ClaimKeepers> ClaimKeepers::Parse(const Json& json,
-                                               const std::string& path) {
-  ClaimKeepers message;
+leaf::result<ClaimReplicas> ClaimReplicas::Parse(const Json& json,
+                                                 const std::string& path) {
+  ClaimReplicas message;
   JsonReader reader(json, path);
   ReadBucket(reader, message.bucket);
   ReadItem(reader, "ballot", message.ballot);
@@ -151,13 +151,13 @@
   return item;
 }
 
-Json TakeoverAsk::ToJson() const {
+Json TakeoverRequest::ToJson() const {
   return Json{{"bucket", bucket}, {"ballot", ballot.ToJson()}};
 }
 
-leaf::result<TakeoverAsk> TakeoverAsk::Parse(const Json& json,
-                                             const std::string& path) {
-  TakeoverAsk message;
+leaf::result<TakeoverRequest> TakeoverRequest::Parse(const Json& json,
+                                                     const std::string& path) {
+  TakeoverRequest message;
   JsonReader reader(json, path);
   ReadBucket(reader, message.bucket);
   ReadItem(reader, "ballot", message.ballot);
@@ -165,7 +165,7 @@
   return message;
 }
 
-Json TakeoverAnswer::ToJson() const {
+Json TakeoverReply::ToJson() const {
   return Json{{"bucket", bucket},
               {"ballot", ballot.ToJson()},
               {"promised", promised.ToJson()},
@@ -174,9 +174,9 @@
               {"records", detail::ListToJson(records)}};
 }
 
-leaf::result<TakeoverAnswer> TakeoverAnswer::Parse(const Json& json,
-                                                   const std::string& path) {
-  TakeoverAnswer message;
+leaf::result<TakeoverReply> TakeoverReply::Parse(const Json& json,
+                                                 const std::string& path) {
+  TakeoverReply message;
   JsonReader reader(json, path);
   ReadBucket(reader, message.bucket);
   ReadItem(reader, "ballot", message.ballot);
@@ -188,14 +188,14 @@
   return message;
 }
 
-Json KeeperInstall::ToJson() const {
+Json ReplicaInstall::ToJson() const {
   return Json{{"keepers", keepers.ToJson()},
               {"records", detail::ListToJson(records)}};
 }
 
-leaf::result<KeeperInstall> KeeperInstall::Parse(const Json& json,
-                                                 const std::string& path) {
-  KeeperInstall message;
+leaf::result<ReplicaInstall> ReplicaInstall::Parse(const Json& json,
+                                                   const std::string& path) {
+  ReplicaInstall message;
   JsonReader reader(json, path);
   ReadItem(reader, "keepers", message.keepers);
   detail::ReadList(reader, "records", message.records);
@@ -203,13 +203,14 @@
   return message;
 }
 
-Json KeeperInstalled::ToJson() const {
+Json ReplicaInstalled::ToJson() const {
   return Json{{"bucket", bucket}, {"ballot", ballot.ToJson()}};
 }
 
-leaf::result<KeeperInstalled> KeeperInstalled::Parse(const Json& json,
-                                                     const std::string& path) {
-  KeeperInstalled message;
+leaf::result<ReplicaInstalled> ReplicaInstalled::Parse(
+    const Json& json,
+    const std::string& path) {
+  ReplicaInstalled message;
   JsonReader reader(json, path);
   ReadBucket(reader, message.bucket);
   ReadItem(reader, "ballot", message.ballot);
@@ -217,14 +218,14 @@
   return message;
 }
 
-Json ClaimAsk::ToJson() const {
+Json GrantRequest::ToJson() const {
   return Json{
       {"bucket", bucket}, {"ballot", ballot.ToJson()}, {"wish", wish.ToJson()}};
 }
 
-leaf::result<ClaimAsk> ClaimAsk::Parse(const Json& json,
-                                       const std::string& path) {
-  ClaimAsk message;
+leaf::result<GrantRequest> GrantRequest::Parse(const Json& json,
+                                               const std::string& path) {
+  GrantRequest message;
   JsonReader reader(json, path);
   ReadBucket(reader, message.bucket);
   ReadItem(reader, "ballot", message.ballot);
@@ -233,7 +234,7 @@
   return message;
 }
 
-Json ClaimAnswer::ToJson() const {
+Json GrantReply::ToJson() const {
   Json json{{"bucket", bucket},
             {"ballot", ballot.ToJson()},
             {"customer", customer.text()},
@@ -249,9 +250,9 @@
   return json;
 }
 
-leaf::result<ClaimAnswer> ClaimAnswer::Parse(const Json& json,
-                                             const std::string& path) {
-  ClaimAnswer message;
+leaf::result<GrantReply> GrantReply::Parse(const Json& json,
+                                           const std::string& path) {
+  GrantReply message;
   std::size_t verdict = 0;
   JsonReader reader(json, path);
   ReadBucket(reader, message.bucket);
--- a/fleet/claim_messages.h
+++ b/fleet/claim_messages.h
@@ -18,7 +18,7 @@
 // Keys fall into this many buckets; each bucket has its own keepers.
 inline constexpr std::int64_t kClaimBuckets = 256;
 // Longer keys are refused.
-inline constexpr std::size_t kLongestClaimKey = 256;
+inline constexpr std::size_t kMaxClaimKeyBytes = 256;
 
 // Names one attempt to become the keeper of a bucket. Later ones are higher.
 struct ClaimBallot {
@@ -34,7 +34,7 @@
 };
 
 // Who keeps a bucket under a ballot. `second` equals `first` on a host alone.
-struct ClaimKeepers {
+struct ClaimReplicas {
   static constexpr std::string_view kKind = "claim-keepers";
 
   std::int64_t bucket = 0;
@@ -43,10 +43,10 @@
   HostId second;
 
   Json ToJson() const;
-  static leaf::result<ClaimKeepers> Parse(const Json& json,
-                                          const std::string& path);
+  static leaf::result<ClaimReplicas> Parse(const Json& json,
+                                           const std::string& path);
 
-  bool operator==(const ClaimKeepers&) const = default;
+  bool operator==(const ClaimReplicas&) const = default;
 };
 
 // What a keeper remembers of one key.
@@ -70,20 +70,20 @@
 };
 
 // Asks a host to give the bucket up to `ballot`.
-struct TakeoverAsk {
+struct TakeoverRequest {
   static constexpr std::string_view kKind = "claim-takeover-ask";
 
   std::int64_t bucket = 0;
   ClaimBallot ballot;
 
   Json ToJson() const;
-  static leaf::result<TakeoverAsk> Parse(const Json& json,
-                                         const std::string& path);
+  static leaf::result<TakeoverRequest> Parse(const Json& json,
+                                             const std::string& path);
 
-  bool operator==(const TakeoverAsk&) const = default;
+  bool operator==(const TakeoverRequest&) const = default;
 };
 
-struct TakeoverAnswer {
+struct TakeoverReply {
   static constexpr std::string_view kKind = "claim-takeover-answer";
 
   std::int64_t bucket = 0;
@@ -98,41 +98,41 @@
   std::vector<ClaimRecord> records;
 
   Json ToJson() const;
-  static leaf::result<TakeoverAnswer> Parse(const Json& json,
-                                            const std::string& path);
+  static leaf::result<TakeoverReply> Parse(const Json& json,
+                                           const std::string& path);
 
-  bool operator==(const TakeoverAnswer&) const = default;
+  bool operator==(const TakeoverReply&) const = default;
 };
 
 // Makes the receiver the second keeper.
-struct KeeperInstall {
+struct ReplicaInstall {
   static constexpr std::string_view kKind = "claim-install";
 
-  ClaimKeepers keepers;
+  ClaimReplicas keepers;
   std::vector<ClaimRecord> records;
 
   Json ToJson() const;
-  static leaf::result<KeeperInstall> Parse(const Json& json,
-                                           const std::string& path);
+  static leaf::result<ReplicaInstall> Parse(const Json& json,
+                                            const std::string& path);
 
-  bool operator==(const KeeperInstall&) const = default;
+  bool operator==(const ReplicaInstall&) const = default;
 };
 
-struct KeeperInstalled {
+struct ReplicaInstalled {
   static constexpr std::string_view kKind = "claim-installed";
 
   std::int64_t bucket = 0;
   ClaimBallot ballot;
 
   Json ToJson() const;
-  static leaf::result<KeeperInstalled> Parse(const Json& json,
-                                             const std::string& path);
+  static leaf::result<ReplicaInstalled> Parse(const Json& json,
+                                              const std::string& path);
 
-  bool operator==(const KeeperInstalled&) const = default;
+  bool operator==(const ReplicaInstalled&) const = default;
 };
 
 // Asks one keeper for its grant under `ballot`.
-struct ClaimAsk {
+struct GrantRequest {
   static constexpr std::string_view kKind = "claim-ask";
 
   std::int64_t bucket = 0;
@@ -141,13 +141,13 @@
   ClaimRecord wish;
 
   Json ToJson() const;
-  static leaf::result<ClaimAsk> Parse(const Json& json,
-                                      const std::string& path);
+  static leaf::result<GrantRequest> Parse(const Json& json,
+                                          const std::string& path);
 
-  bool operator==(const ClaimAsk&) const = default;
+  bool operator==(const GrantRequest&) const = default;
 };
 
-struct ClaimAnswer {
+struct GrantReply {
   static constexpr std::string_view kKind = "claim-answer";
 
   std::int64_t bucket = 0;
@@ -158,13 +158,13 @@
   ClaimVerdict verdict = ClaimVerdict::kUnavailable;
   std::optional<KeptAnswer> answer;
   // Where the verdict is kUnavailable: the keepers that the sender knows of.
-  std::optional<ClaimKeepers> keepers;
+  std::optional<ClaimReplicas> keepers;
 
   Json ToJson() const;
-  static leaf::result<ClaimAnswer> Parse(const Json& json,
-                                         const std::string& path);
+  static leaf::result<GrantReply> Parse(const Json& json,
+                                        const std::string& path);
 
-  bool operator==(const ClaimAnswer&) const = default;
+  bool operator==(const GrantReply&) const = default;
 };
 
 // Tells a keeper how a claim ended. Repeated until acknowledged by both.
@@ -190,7 +190,7 @@
   std::uint64_t claim = 0;
   // The sender does not keep the bucket under that ballot.
   bool refused = false;
-  std::optional<ClaimKeepers> keepers;
+  std::optional<ClaimReplicas> keepers;
 
   Json ToJson() const;
   static leaf::result<ClaimSettled> Parse(const Json& json,
--- a/fleet/claim_options.h
+++ b/fleet/claim_options.h
@@ -19,17 +19,17 @@
   // Ended claims are remembered for at least this long.
   Duration retention = std::chrono::hours(24);
   // Records on one host; new keys are refused beyond.
-  std::int64_t most_records = 100'000;
+  std::int64_t max_records = 100'000;
   // Larger answers are not kept: a repeat then hears that it ran, no more.
-  std::size_t largest_answer = 16'384;
+  std::size_t max_answer_bytes = 16'384;
   // Answers kept on one host, in bytes; the rest are not kept.
   std::size_t answer_bytes = 32'000'000;
   // Between two sends of a message that was not answered.
   Duration repeat = std::chrono::milliseconds(250);
   // How long a claim may take, its deadline permitting.
-  Duration longest_claim = std::chrono::seconds(2);
+  Duration claim_timeout = std::chrono::seconds(2);
   // Settlements that wait for their acknowledgements on one host.
-  std::size_t most_unsettled = 100'000;
+  std::size_t max_unsettled = 100'000;
 };
 
 }  // namespace damasktack
--- a/fleet/claim_keeper.cc
+++ b/fleet/claim_replica.cc
@@ -1,4 +1,4 @@
-#include "fleet/claim_keeper.h"
+#include "fleet/claim_replica.h"
 
 #include <xxhash.h>
 
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-ClaimKeeper::ClaimKeeper(HostId self,
-                         Incarnation incarnation,
-                         ClaimOptions options)
+ClaimReplica::ClaimReplica(HostId self,
+                           Incarnation incarnation,
+                           ClaimOptions options)
     : self_(std::move(self)), incarnation_(incarnation), options_(options) {
   // All that a message may name, so that no index needs a check.
   buckets_.reserve(kClaimBuckets);
@@ -34,34 +34,34 @@
   }
 }
 
-const std::optional<ClaimKeepers>& ClaimKeeper::KnownKeepers(
+const std::optional<ClaimReplicas>& ClaimReplica::KnownReplicas(
     std::int64_t bucket) const {
   return buckets_[static_cast<std::size_t>(bucket)].known;
 }
 
-void ClaimKeeper::LearnKeepers(const ClaimKeepers& keepers) {
+void ClaimReplica::LearnReplicas(const ClaimReplicas& keepers) {
   auto& known = buckets_[static_cast<std::size_t>(keepers.bucket)].known;
   if (!known || known->ballot < keepers.ballot) {
     known = keepers;
   }
 }
 
-void ClaimKeeper::OnView(const HostView& view) {
+void ClaimReplica::OnView(const HostView& view) {
   view_ = view;
   FindCandidates();
 }
 
-void ClaimKeeper::SetCounted(CountedFleet counted) {
+void ClaimReplica::SetCounted(CountedFleet counted) {
   counted_ = std::move(counted);
   FindCandidates();
 }
 
-std::optional<ClaimBallot> ClaimKeeper::HeldUnder(std::int64_t bucket) const {
+std::optional<ClaimBallot> ClaimReplica::HeldBallot(std::int64_t bucket) const {
   const auto& kept = buckets_[static_cast<std::size_t>(bucket)].kept;
   return kept ? std::optional(kept->ballot) : std::nullopt;
 }
 
-void ClaimKeeper::FindCandidates() {
+void ClaimReplica::FindCandidates() {
   candidates_.clear();
   if (!view_.self_leaving) {
     candidates_.push_back(
@@ -77,7 +77,7 @@
   }
 }
 
-ClaimKeeper::Pair ClaimKeeper::Wanted(std::int64_t bucket) const {
+ClaimReplica::Pair ClaimReplica::Wanted(std::int64_t bucket) const {
   const auto best = [&](auto allowed) -> const PeerView* {
     const PeerView* found = nullptr;
     std::uint64_t highest = 0;
@@ -104,7 +104,7 @@
   return {first->id, second == nullptr ? first->id : second->id};
 }
 
-bool ClaimKeeper::EveryoneReachable() const {
+bool ClaimReplica::EveryoneReachable() const {
   return std::all_of(counted_.others.begin(), counted_.others.end(),
                      [&](const CountedHost& other) {
                        return std::any_of(
@@ -115,13 +115,13 @@
                      });
 }
 
-bool ClaimKeeper::KeepsUnder(const Bucket& bucket,
-                             const ClaimBallot& ballot) const {
+bool ClaimReplica::KeepsUnder(const Bucket& bucket,
+                              const ClaimBallot& ballot) const {
   return bucket.kept && bucket.kept->ballot == ballot &&
          bucket.promised <= ballot;
 }
 
-void ClaimKeeper::Tick(TimePoint now, Outbox& out) {
+void ClaimReplica::Tick(TimePoint now, Outbox& out) {
   if (now < next_round_) {
     return;
   }
@@ -141,7 +141,7 @@
 
 // A takeover stops the bucket until it is through, so none is begun that
 // cannot come through now.
-void ClaimKeeper::Consider(std::int64_t index, TimePoint now, Outbox& out) {
+void ClaimReplica::Consider(std::int64_t index, TimePoint now, Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(index)];
   if (!counted_.owns || now < bucket.next_try || !EveryoneReachable()) {
     return;
@@ -166,7 +166,7 @@
   }
 }
 
-void ClaimKeeper::Begin(std::int64_t index, TimePoint now, Outbox& out) {
+void ClaimReplica::Begin(std::int64_t index, TimePoint now, Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(index)];
   Takeover takeover;
   const auto highest =
@@ -177,7 +177,7 @@
   Continue(index, now, out);
 }
 
-void ClaimKeeper::Continue(std::int64_t index, TimePoint now, Outbox& out) {
+void ClaimReplica::Continue(std::int64_t index, TimePoint now, Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(index)];
   Takeover& takeover = *bucket.takeover;
   if (now - takeover.began_at > kTakeoverTimeout) {
@@ -195,7 +195,7 @@
     out.Send(takeover.install->keepers.second, *takeover.install);
     return;
   }
-  const TakeoverAsk ask{index, takeover.ballot};
+  const TakeoverRequest ask{index, takeover.ballot};
   out.Send(self_, ask);
   for (const CountedHost& it : counted_.others) {
     if (!takeover.heard.contains(it.host)) {
@@ -204,7 +204,7 @@
   }
 }
 
-void ClaimKeeper::GiveUp(Bucket& bucket, TimePoint now) {
+void ClaimReplica::GiveUp(Bucket& bucket, TimePoint now) {
   bucket.takeover.reset();
   // Hosts with different views take turns instead of outbidding each other.
   const auto stagger =
@@ -212,12 +212,12 @@
   bucket.next_try = now + options_.repeat + stagger;
 }
 
-void ClaimKeeper::On(const Sender& sender,
-                     const TakeoverAsk& ask,
-                     TimePoint now,
-                     Outbox& out) {
+void ClaimReplica::On(const Sender& sender,
+                      const TakeoverRequest& ask,
+                      TimePoint now,
+                      Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(ask.bucket)];
-  TakeoverAnswer answer;
+  TakeoverReply answer;
   answer.bucket = ask.bucket;
   answer.ballot = ask.ballot;
   answer.counted = counted_.owns;
@@ -242,10 +242,10 @@
   out.Send(sender.host, std::move(answer));
 }
 
-void ClaimKeeper::On(const Sender& sender,
-                     const TakeoverAnswer& answer,
-                     TimePoint now,
-                     Outbox& out) {
+void ClaimReplica::On(const Sender& sender,
+                      const TakeoverReply& answer,
+                      TimePoint now,
+                      Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(answer.bucket)];
   const bool withdrawn =
       !bucket.takeover && bucket.kept && bucket.kept->first == self_ &&
@@ -275,7 +275,9 @@
 
 // Once every host that may keep the bucket has promised, the records under the
 // highest ballot are all that was ever granted and not lost.
-void ClaimKeeper::FinishAsking(std::int64_t index, TimePoint now, Outbox& out) {
+void ClaimReplica::FinishAsking(std::int64_t index,
+                                TimePoint now,
+                                Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(index)];
   Takeover& takeover = *bucket.takeover;
   for (const CountedHost& it : counted_.others) {
@@ -321,7 +323,7 @@
       records.push_back(heard.answer.records);
     }
   }
-  KeeperInstall install;
+  ReplicaInstall install;
   install.keepers = {index, takeover.ballot, self_, wanted.second};
   install.records = MergeClaimRecords(records);
   bucket.second_incarnation = second->second.incarnation;
@@ -334,8 +336,8 @@
 
 // Whether a ballot above `accepted` may have granted claims. One whose own
 // host answers with a lower one never came through.
-bool ClaimKeeper::MayBeLost(const Takeover& takeover,
-                            const ClaimBallot& accepted) const {
+bool ClaimReplica::MayBeLost(const Takeover& takeover,
+                             const ClaimBallot& accepted) const {
   if (accepted.counter == 0) {
     return true;
   }
@@ -349,11 +351,11 @@
       });
 }
 
-void ClaimKeeper::On(const Sender& sender,
-                     const KeeperInstall& install,
-                     TimePoint now,
-                     Outbox& out) {
-  const ClaimKeepers& keepers = install.keepers;
+void ClaimReplica::On(const Sender& sender,
+                      const ReplicaInstall& install,
+                      TimePoint now,
+                      Outbox& out) {
+  const ClaimReplicas& keepers = install.keepers;
   Bucket& bucket = buckets_[static_cast<std::size_t>(keepers.bucket)];
   // An equal promise is of this takeover: the ballot names its host. A process
   // that started after it was asked has promised nothing and is left out.
@@ -364,15 +366,15 @@
   if (!repeated) {
     bucket.kept = keepers;
     bucket.records.Replace(install.records, now);
-    LearnKeepers(keepers);
+    LearnReplicas(keepers);
   }
-  out.Send(sender.host, KeeperInstalled{keepers.bucket, keepers.ballot});
+  out.Send(sender.host, ReplicaInstalled{keepers.bucket, keepers.ballot});
 }
 
-void ClaimKeeper::On(const Sender& sender,
-                     const KeeperInstalled& installed,
-                     TimePoint now,
-                     Outbox& out) {
+void ClaimReplica::On(const Sender& sender,
+                      const ReplicaInstalled& installed,
+                      TimePoint now,
+                      Outbox& out) {
   const Bucket& bucket = buckets_[static_cast<std::size_t>(installed.bucket)];
   const bool ours = bucket.takeover && bucket.takeover->install &&
                     bucket.takeover->ballot == installed.ballot &&
@@ -383,23 +385,23 @@
   }
 }
 
-void ClaimKeeper::Complete(std::int64_t index, TimePoint now, Outbox& out) {
+void ClaimReplica::Complete(std::int64_t index, TimePoint now, Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(index)];
-  const KeeperInstall install = *bucket.takeover->install;
+  const ReplicaInstall install = *bucket.takeover->install;
   bucket.takeover.reset();
   if (bucket.promised != install.keepers.ballot) {
     return;
   }
   bucket.kept = install.keepers;
   bucket.records.Replace(install.records, now);
-  LearnKeepers(install.keepers);
+  LearnReplicas(install.keepers);
   for (const PeerView& it : view_.peers) {
     out.Send(it.id, install.keepers);
   }
 }
 
 // Tells a host that has just come into reach of every bucket kept here.
-void ClaimKeeper::Announce(TimePoint /*now*/, Outbox& out) {
+void ClaimReplica::Announce(TimePoint /*now*/, Outbox& out) {
   for (const PeerView& it : view_.peers) {
     const auto told = told_.find(it.id);
     const bool known = told != told_.end() && told->second == it.incarnation;
@@ -418,11 +420,11 @@
   }
 }
 
-void ClaimKeeper::On(const Sender& /*sender*/,
-                     const ClaimKeepers& keepers,
-                     TimePoint /*now*/,
-                     Outbox& /*out*/) {
-  LearnKeepers(keepers);
+void ClaimReplica::On(const Sender& /*sender*/,
+                      const ClaimReplicas& keepers,
+                      TimePoint /*now*/,
+                      Outbox& /*out*/) {
+  LearnReplicas(keepers);
   Bucket& bucket = buckets_[static_cast<std::size_t>(keepers.bucket)];
   const bool other = bucket.kept && bucket.kept->ballot < keepers.ballot;
   // Its records went over with the promise; nobody asks for them again.
@@ -433,9 +435,9 @@
   }
 }
 
-ClaimAnswer ClaimKeeper::Decide(Bucket& bucket, const ClaimAsk& ask) {
+GrantReply ClaimReplica::Decide(Bucket& bucket, const GrantRequest& ask) {
   const ClaimRecord& wish = ask.wish;
-  ClaimAnswer answer;
+  GrantReply answer;
   answer.bucket = ask.bucket;
   answer.ballot = ask.ballot;
   answer.customer = wish.customer;
@@ -447,7 +449,7 @@
   }
   const ClaimRecord* record = bucket.records.Find(wish.customer, wish.key);
   if (record == nullptr) {
-    if (usage_.records < options_.most_records) {
+    if (usage_.records < options_.max_records) {
       bucket.records.Grant(wish);
       answer.verdict = ClaimVerdict::kGranted;
     }
@@ -465,16 +467,16 @@
   return answer;
 }
 
-void ClaimKeeper::On(const Sender& sender,
-                     const ClaimAsk& ask,
-                     TimePoint /*now*/,
-                     Outbox& out) {
+void ClaimReplica::On(const Sender& sender,
+                      const GrantRequest& ask,
+                      TimePoint /*now*/,
+                      Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(ask.bucket)];
   out.Send(sender.host, Decide(bucket, ask));
   const bool withdrew = bucket.kept && bucket.kept->ballot == ask.ballot &&
                         ask.ballot < bucket.promised;
   if (withdrew && bucket.kept->first != self_) {
-    TakeoverAnswer told;
+    TakeoverReply told;
     told.bucket = ask.bucket;
     told.ballot = ask.ballot;
     told.promised = bucket.promised;
@@ -482,10 +484,10 @@
   }
 }
 
-void ClaimKeeper::On(const Sender& sender,
-                     const ClaimSettle& settle,
-                     TimePoint now,
-                     Outbox& out) {
+void ClaimReplica::On(const Sender& sender,
+                      const ClaimSettle& settle,
+                      TimePoint now,
+                      Outbox& out) {
   Bucket& bucket = buckets_[static_cast<std::size_t>(settle.bucket)];
   ClaimSettled settled{settle.ballot, settle.record.claim, false, {}};
   // After a promise the records have gone over; an end that came now would be
@@ -499,7 +501,7 @@
   if (settle.record.ended) {
     const std::size_t size =
         settle.record.answer ? settle.record.answer->body.size() : 0;
-    const bool room = size <= options_.largest_answer &&
+    const bool room = size <= options_.max_answer_bytes &&
                       usage_.answer_bytes + size <= options_.answer_bytes;
     bucket.records.End(settle.record, room, now);
   } else {
@@ -508,17 +510,17 @@
   out.Send(sender.host, std::move(settled));
 }
 
-ClaimKeeperStatus ClaimKeeper::Status() const {
-  ClaimKeeperStatus status;
+ClaimReplicaStatus ClaimReplica::Status() const {
+  ClaimReplicaStatus status;
   status.usage = usage_;
   for (const Bucket& it : buckets_) {
-    status.taking_over += it.takeover ? 1 : 0;
+    status.pending_takeovers += it.takeover ? 1 : 0;
     status.holds += it.kept ? 1 : 0;
     if (!it.kept || !KeepsUnder(it, it.kept->ballot)) {
       continue;
     }
-    status.first_of += it.kept->first == self_ ? 1 : 0;
-    status.second_of += it.kept->first != self_ ? 1 : 0;
+    status.primary_buckets += it.kept->first == self_ ? 1 : 0;
+    status.secondary_buckets += it.kept->first != self_ ? 1 : 0;
   }
   return status;
 }
--- a/fleet/claim_keeper.h
+++ b/fleet/claim_replica.h
@@ -1,5 +1,5 @@
-#ifndef FLEET_CLAIM_KEEPER_H_
-#define FLEET_CLAIM_KEEPER_H_
+#ifndef FLEET_CLAIM_REPLICA_H_
+#define FLEET_CLAIM_REPLICA_H_
 
 #include <cstdint>
 #include <map>
@@ -14,15 +14,15 @@
 
 namespace damasktack {
 
-struct ClaimKeeperStatus {
+struct ClaimReplicaStatus {
   // Buckets that this host keeps as first and as second keeper.
-  std::int64_t first_of = 0;
-  std::int64_t second_of = 0;
+  std::int64_t primary_buckets = 0;
+  std::int64_t secondary_buckets = 0;
   // Buckets whose records this host has, also those that it has given up for a
   // takeover: until that one is through this may be the only copy.
   std::int64_t holds = 0;
   // Buckets that this host tries to take over.
-  std::int64_t taking_over = 0;
+  std::int64_t pending_takeovers = 0;
   ClaimUsage usage;
 };
 
@@ -31,36 +31,36 @@
 // takes the bucket over once every host it counts has promised to follow no
 // lower ballot, and so has given the bucket up, and has handed its records
 // over. docs/notes/claims.md has the argument. Pure.
-class ClaimKeeper {
+class ClaimReplica {
  public:
-  ClaimKeeper(HostId self, Incarnation incarnation, ClaimOptions options);
+  ClaimReplica(HostId self, Incarnation incarnation, ClaimOptions options);
 
   void OnView(const HostView& view);
   void SetCounted(CountedFleet counted);
   void Tick(TimePoint now, Outbox& out);
 
   void On(const Sender& sender,
-          const TakeoverAsk& ask,
+          const TakeoverRequest& ask,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
-          const TakeoverAnswer& answer,
+          const TakeoverReply& answer,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
-          const KeeperInstall& install,
+          const ReplicaInstall& install,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
-          const KeeperInstalled& installed,
+          const ReplicaInstalled& installed,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
-          const ClaimKeepers& keepers,
+          const ClaimReplicas& keepers,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
-          const ClaimAsk& ask,
+          const GrantRequest& ask,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
@@ -69,20 +69,20 @@
           Outbox& out);
 
   // Whom to ask about a bucket that no keepers are known of.
-  HostId LikelyKeeper(std::int64_t bucket) const {
+  HostId LikelyPrimary(std::int64_t bucket) const {
     return Wanted(bucket).first;
   }
   // The keepers with the highest ballot that this host has heard of.
-  const std::optional<ClaimKeepers>& KnownKeepers(std::int64_t bucket) const;
-  void LearnKeepers(const ClaimKeepers& keepers);
+  const std::optional<ClaimReplicas>& KnownReplicas(std::int64_t bucket) const;
+  void LearnReplicas(const ClaimReplicas& keepers);
   // Under which ballot this host holds records of a bucket, if any.
-  std::optional<ClaimBallot> HeldUnder(std::int64_t bucket) const;
-  ClaimKeeperStatus Status() const;
+  std::optional<ClaimBallot> HeldBallot(std::int64_t bucket) const;
+  ClaimReplicaStatus Status() const;
 
  private:
   struct Heard {
     Incarnation incarnation = 0;
-    TakeoverAnswer answer;
+    TakeoverReply answer;
   };
   struct Takeover {
     ClaimBallot ballot;
@@ -90,7 +90,7 @@
     TimePoint began_at;
     std::map<HostId, Heard> heard;
     // Set once the records are complete and go to the second keeper.
-    std::optional<KeeperInstall> install;
+    std::optional<ReplicaInstall> install;
   };
   struct Bucket {
     explicit Bucket(ClaimUsage& usage) : records(usage) {}
@@ -105,8 +105,8 @@
     // The process that was made second keeper by this host.
     Incarnation second_incarnation = 0;
     // Kept under this; grants are given only while nothing higher is promised.
-    std::optional<ClaimKeepers> kept;
-    std::optional<ClaimKeepers> known;
+    std::optional<ClaimReplicas> kept;
+    std::optional<ClaimReplicas> known;
     ClaimRecords records;
     std::optional<Takeover> takeover;
     TimePoint next_try;
@@ -129,7 +129,7 @@
   bool MayBeLost(const Takeover& takeover, const ClaimBallot& accepted) const;
   void GiveUp(Bucket& bucket, TimePoint now);
   void Announce(TimePoint now, Outbox& out);
-  ClaimAnswer Decide(Bucket& bucket, const ClaimAsk& ask);
+  GrantReply Decide(Bucket& bucket, const GrantRequest& ask);
 
   const HostId self_;
   const Incarnation incarnation_;
@@ -149,4 +149,4 @@
 
 }  // namespace damasktack
 
-#endif  // FLEET_CLAIM_KEEPER_H_
+#endif  // FLEET_CLAIM_REPLICA_H_
--- a/fleet/crash_exchange.cc
+++ b/fleet/crash_exchange.cc
@@ -10,7 +10,7 @@
 namespace {
 
 void SendTo(std::vector<HostId> hosts,
-            const CrashNews& news,
+            const CrashUpdates& news,
             TimePoint now,
             Outbox& out) {
   if (!hosts.empty() && !news.empty()) {
@@ -21,7 +21,7 @@
 }  // namespace
 
 void CrashExchange::OnPeer(const HostId& host,
-                           CrashListener listener,
+                           CrashPeerRole listener,
                            TimePoint now,
                            Outbox& out) {
   const auto known = peers_.find(host);
@@ -30,7 +30,7 @@
   }
   peers_[host] = listener;
   const std::size_t least =
-      listener == CrashListener::kFollower ? kTellFollowersFrom : 1;
+      listener == CrashPeerRole::kFollower ? kMinCrashesForFollowers : 1;
   CrashReport report = quarantine_.Evidence(least, now);
   if (!report.empty()) {
     out.Send(host, std::move(report));
@@ -41,7 +41,7 @@
   peers_.erase(host);
 }
 
-std::vector<HostId> CrashExchange::Listeners(CrashListener listener,
+std::vector<HostId> CrashExchange::Listeners(CrashPeerRole listener,
                                              const HostId& but) const {
   std::vector<HostId> hosts;
   for (const auto& [host, it] : peers_) {
@@ -52,42 +52,43 @@
   return hosts;
 }
 
-CrashNews CrashExchange::ForFollowers(const CrashNews& news) const {
-  CrashNews told;
+CrashUpdates CrashExchange::ForFollowers(const CrashUpdates& news) const {
+  CrashUpdates told;
   std::set<RequestFingerprint> requests;
-  for (const CrashSighting& it : news.sightings) {
+  for (const CrashObservation& it : news.sightings) {
     requests.insert(it.request);
   }
   for (const RequestFingerprint request : requests) {
-    const std::vector<CrashSighting> all = quarantine_.SightingsOf(request);
-    if (all.size() >= kTellFollowersFrom) {
+    const std::vector<CrashObservation> all =
+        quarantine_.ObservationsOf(request);
+    if (all.size() >= kMinCrashesForFollowers) {
       std::ranges::copy(all, std::back_inserter(told.sightings));
     }
   }
-  for (const CrashNews::Cleared& it : news.cleared) {
-    if (it.crashes >= kTellFollowersFrom) {
+  for (const CrashUpdates::Cleared& it : news.cleared) {
+    if (it.crashes >= kMinCrashesForFollowers) {
       told.cleared.push_back(it);
     }
   }
   return told;
 }
 
-void CrashExchange::Pass(const CrashNews& news,
+void CrashExchange::Pass(const CrashUpdates& news,
                          const HostId& from,
                          TimePoint now,
                          Outbox& out) const {
-  SendTo(Listeners(CrashListener::kSeed, from), news, now, out);
+  SendTo(Listeners(CrashPeerRole::kSeed, from), news, now, out);
   // A follower that sent the second sighting of a request lacks the first.
-  SendTo(Listeners(CrashListener::kFollower, HostId()), ForFollowers(news), now,
+  SendTo(Listeners(CrashPeerRole::kFollower, HostId()), ForFollowers(news), now,
          out);
 }
 
 void CrashExchange::Share(TimePoint now, Outbox& out) {
-  const CrashNews news = quarantine_.TakeNews();
+  const CrashUpdates news = quarantine_.TakeUpdates();
   if (news.empty()) {
     return;
   }
-  SendTo(Listeners(CrashListener::kPeer, HostId()), news, now, out);
+  SendTo(Listeners(CrashPeerRole::kPeer, HostId()), news, now, out);
   Pass(news, HostId(), now, out);
 }
 
@@ -95,7 +96,7 @@
                              const CrashReport& report,
                              TimePoint now,
                              Outbox& out) {
-  const CrashNews news = quarantine_.Take(report, now);
+  const CrashUpdates news = quarantine_.Take(report, now);
   if (!news.empty()) {
     Pass(news, from, now, out);
   }
@@ -116,7 +117,7 @@
   }
   incarnations_ = std::move(reachable);
   for (const auto& [host, incarnation] : incarnations_) {
-    OnPeer(host, CrashListener::kPeer, now, out);
+    OnPeer(host, CrashPeerRole::kPeer, now, out);
   }
 }
 
--- a/fleet/crash_exchange.h
+++ b/fleet/crash_exchange.h
@@ -13,7 +13,7 @@
 namespace damasktack {
 
 // Who hears what of crashes.
-enum class CrashListener : std::uint8_t {
+enum class CrashPeerRole : std::uint8_t {
   // Linked to all hosts, as this one is: hears what this host finds out itself.
   kPeer,
   // A seed: hears everything, and passes it on.
@@ -29,19 +29,19 @@
 class CrashExchange {
  public:
   // Crashes from which on followers hear of a request.
-  static constexpr std::size_t kTellFollowersFrom = 2;
+  static constexpr std::size_t kMinCrashesForFollowers = 2;
 
   explicit CrashExchange(RequestQuarantine& quarantine)
       : quarantine_(quarantine) {}
 
   // Runs when there is news to Share, on the thread that brought it.
-  void SetOnNews(std::function<void()> on_news) {
-    quarantine_.SetOnNews(std::move(on_news));
+  void SetOnUpdates(std::function<void()> on_news) {
+    quarantine_.SetOnUpdates(std::move(on_news));
   }
 
   // A new peer hears what there is; one known in the same part, nothing.
   void OnPeer(const HostId& host,
-              CrashListener listener,
+              CrashPeerRole listener,
               TimePoint now,
               Outbox& out);
   void OnPeerGone(const HostId& host);
@@ -61,18 +61,18 @@
   void Tick(TimePoint now, Outbox& out) { Share(now, out); }
 
  private:
-  std::vector<HostId> Listeners(CrashListener listener,
+  std::vector<HostId> Listeners(CrashPeerRole listener,
                                 const HostId& but) const;
   // Tells followers, and seeds but `from`.
-  void Pass(const CrashNews& news,
+  void Pass(const CrashUpdates& news,
             const HostId& from,
             TimePoint now,
             Outbox& out) const;
   // What of the news followers hear, with what was held back so far.
-  CrashNews ForFollowers(const CrashNews& news) const;
+  CrashUpdates ForFollowers(const CrashUpdates& news) const;
 
   RequestQuarantine& quarantine_;
-  std::map<HostId, CrashListener> peers_;
+  std::map<HostId, CrashPeerRole> peers_;
   // Of the reachable hosts of the last view.
   std::map<HostId, Incarnation> incarnations_;
 };
--- a/fleet/crash_messages.h
+++ b/fleet/crash_messages.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "core/json_reader.h"
-#include "policy/crash_ledger.h"
+#include "policy/crash_tracker.h"
 
 namespace damasktack {
 
--- a/fleet/document_messages.cc
+++ b/fleet/document_messages.cc
@@ -82,13 +82,13 @@
   return message;
 }
 
-Json DocumentAsk::ToJson() const {
+Json DocumentRequest::ToJson() const {
   return Json{{"name", ToString(name)}, {"after", JsonOf(after)}};
 }
 
-leaf::result<DocumentAsk> DocumentAsk::Parse(const Json& json,
-                                             const std::string& path) {
-  DocumentAsk message;
+leaf::result<DocumentRequest> DocumentRequest::Parse(const Json& json,
+                                                     const std::string& path) {
+  DocumentRequest message;
   JsonReader reader(json, path);
   ReadName(reader, message.name);
   ReadVersion(reader, "after", message.after);
--- a/fleet/document_messages.h
+++ b/fleet/document_messages.h
@@ -52,17 +52,17 @@
 };
 
 // Asks for a document if the receiver's version is above `after`.
-struct DocumentAsk {
+struct DocumentRequest {
   static constexpr std::string_view kKind = "document-ask";
 
   DocumentName name = DocumentName::kContracts;
   DocumentVersion after;
 
   Json ToJson() const;
-  static leaf::result<DocumentAsk> Parse(const Json& json,
-                                         const std::string& path);
+  static leaf::result<DocumentRequest> Parse(const Json& json,
+                                             const std::string& path);
 
-  bool operator==(const DocumentAsk&) const = default;
+  bool operator==(const DocumentRequest&) const = default;
 };
 
 }  // namespace damasktack
--- a/fleet/document_store.cc
+++ b/fleet/document_store.cc
@@ -118,7 +118,7 @@
                               Outbox& out) {
   if (const auto* digest = std::get_if<DocumentDigest>(&message)) {
     OnDigest(sender.host, *digest, now, out);
-  } else if (const auto* ask = std::get_if<DocumentAsk>(&message)) {
+  } else if (const auto* ask = std::get_if<DocumentRequest>(&message)) {
     if (SlotOf(ask->name).version > ask->after) {
       Push(sender.host, ask->name, out);
     }
@@ -145,14 +145,14 @@
   SendDigest(std::next(peers_.begin(), chosen)->first, false, out);
 }
 
-void DocumentStore::AskAll(Outbox& out) {
+void DocumentStore::RequestAllDigests(Outbox& out) {
   for (auto& [peer, known] : peers_) {
     known.reset();
     SendDigest(peer, true, out);
   }
 }
 
-bool DocumentStore::HasHeardAll() const {
+bool DocumentStore::HasAllDigests() const {
   return std::ranges::all_of(peers_, [&](const auto& entry) {
     if (!entry.second) {
       return false;
@@ -239,7 +239,7 @@
   slot.asked = now;
   slot.asked_version = theirs;
   ++counters_.asks_sent;
-  out.Send(from, DocumentAsk{name, slot.version});
+  out.Send(from, DocumentRequest{name, slot.version});
 }
 
 void DocumentStore::Push(const HostId& to, DocumentName name, Outbox& out) {
--- a/fleet/document_store.h
+++ b/fleet/document_store.h
@@ -77,11 +77,12 @@
                  Outbox& out);
   void Tick(TimePoint now, Outbox& out);
 
-  // Forgets what peers have and asks all of them; see HasHeardAll.
-  void AskAll(Outbox& out);
-  // Whether every peer that is linked now has sent its digest since AskAll or
-  // since its link came up, and this host has all that they announced.
-  bool HasHeardAll() const;
+  // Forgets what peers have and asks all of them; see HasAllDigests.
+  void RequestAllDigests(Outbox& out);
+  // Whether every peer that is linked now has sent its digest since
+  // RequestAllDigests or since its link came up, and this host has all that
+  // they announced.
+  bool HasAllDigests() const;
 
   // Null where none is in force.
   std::shared_ptr<const Document> InForce(DocumentName name) const;
--- a/fleet/drain_messages.h
+++ b/fleet/drain_messages.h
@@ -10,17 +10,17 @@
 namespace damasktack {
 
 // The sender was told by the endpoint itself, a moment ago, that it drains.
-struct DrainSighting {
+struct DrainObservation {
   static constexpr std::string_view kKind = "drain-sighting";
 
   ServiceId service;
   EndpointId endpoint;
 
   Json ToJson() const;
-  static leaf::result<DrainSighting> Parse(const Json& json,
-                                           const std::string& path);
+  static leaf::result<DrainObservation> Parse(const Json& json,
+                                              const std::string& path);
 
-  auto operator<=>(const DrainSighting&) const = default;
+  auto operator<=>(const DrainObservation&) const = default;
 };
 
 }  // namespace damasktack
--- a/fleet/drain_sightings.cc
+++ b/fleet/drain_observations.cc
@@ -1,12 +1,12 @@
-#include "fleet/drain_sightings.h"
+#include "fleet/drain_observations.h"
 
 #include <utility>
 
 namespace damasktack {
 
-void DrainSightings::Sighted(const DrainSighting& sighting,
-                             TimePoint now,
-                             Outbox& out) {
+void DrainObservations::OnObserved(const DrainObservation& sighting,
+                                   TimePoint now,
+                                   Outbox& out) {
   if (sent_.contains(sighting) || sent_.size() >= kMost) {
     return;
   }
@@ -16,13 +16,13 @@
   }
 }
 
-std::set<DrainSighting> DrainSightings::TakeHeard() {
+std::set<DrainObservation> DrainObservations::TakeReceived() {
   return std::exchange(heard_, {});
 }
 
-void DrainSightings::OnView(const HostView& view,
-                            TimePoint /*now*/,
-                            Outbox& /*out*/) {
+void DrainObservations::OnView(const HostView& view,
+                               TimePoint /*now*/,
+                               Outbox& /*out*/) {
   peers_.clear();
   for (const PeerView& it : view.peers) {
     if (it.reachable) {
@@ -31,17 +31,17 @@
   }
 }
 
-void DrainSightings::OnMessage(const Sender& /*sender*/,
-                               const PeerMessage& message,
-                               TimePoint /*now*/,
-                               Outbox& /*out*/) {
-  const auto* sighting = std::get_if<DrainSighting>(&message);
+void DrainObservations::OnMessage(const Sender& /*sender*/,
+                                  const PeerMessage& message,
+                                  TimePoint /*now*/,
+                                  Outbox& /*out*/) {
+  const auto* sighting = std::get_if<DrainObservation>(&message);
   if (sighting != nullptr && heard_.size() < kMost) {
     heard_.insert(*sighting);
   }
 }
 
-void DrainSightings::Tick(TimePoint now, Outbox& /*out*/) {
+void DrainObservations::Tick(TimePoint now, Outbox& /*out*/) {
   std::erase_if(
       sent_, [&](const auto& entry) { return now - entry.second >= kRepeat; });
 }
--- a/fleet/drained_zones.cc
+++ b/fleet/drained_zones.cc
@@ -3,7 +3,7 @@
 namespace damasktack {
 
 bool DrainedZones::Take(const ZoneDrain& drain, Revision revision) {
-  if (words_.size() >= kMostZones && !words_.contains(drain.zone)) {
+  if (words_.size() >= kMaxZones && !words_.contains(drain.zone)) {
     return false;
   }
   Word& word = words_[drain.zone];
--- a/fleet/drained_zones.h
+++ b/fleet/drained_zones.h
@@ -17,7 +17,7 @@
  public:
   // Names that are remembered; no region has as many zones, and keys may be
   // written by mistake.
-  static constexpr std::size_t kMostZones = 1024;
+  static constexpr std::size_t kMaxZones = 1024;
 
   // Each returns whether the zones in force have changed.
   bool Take(const ZoneDrain& drain, Revision revision);
--- a/fleet/early_part.cc
+++ b/fleet/early_read_filter.cc
@@ -1,4 +1,4 @@
-#include "fleet/early_part.h"
+#include "fleet/early_read_filter.h"
 
 #include <algorithm>
 
@@ -24,7 +24,7 @@
 namespace {
 
 bool IsBook(const PublishedItem& item) {
-  return std::holds_alternative<RouteBook>(item.value);
+  return std::holds_alternative<RouteTable>(item.value);
 }
 
 }  // namespace
@@ -39,7 +39,7 @@
     return false;
   }
   return std::ranges::all_of(
-      std::get<RouteBook>(book->value).services, [&](const ServiceTraits& it) {
+      std::get<RouteTable>(book->value).services, [&](const ServiceTraits& it) {
         return CountLive(items, it.id) >= kFewestEndpoints;
       });
 }
--- a/fleet/early_part.h
+++ b/fleet/early_read_filter.h
@@ -1,5 +1,5 @@
-#ifndef FLEET_EARLY_PART_H_
-#define FLEET_EARLY_PART_H_
+#ifndef FLEET_EARLY_READ_FILTER_H_
+#define FLEET_EARLY_READ_FILTER_H_
 
 #include "fleet/published_source.h"
 
@@ -14,4 +14,4 @@
 
 }  // namespace damasktack
 
-#endif  // FLEET_EARLY_PART_H_
+#endif  // FLEET_EARLY_READ_FILTER_H_
--- a/fleet/endpoint_rate_exchange.cc
+++ b/fleet/endpoint_rate_exchange.cc
@@ -32,7 +32,7 @@
 }
 
 void EndpointRateExchange::Share(TimePoint now, Outbox& out) {
-  Tell(rates_.TakeNews(), HostId(), now, out);
+  Tell(rates_.TakeUpdates(), HostId(), now, out);
 }
 
 void EndpointRateExchange::OnReport(const HostId& from,
@@ -40,7 +40,7 @@
                                     TimePoint now,
                                     Outbox& out) {
   const std::vector<StatedRate> news = rates_.Take(report, now);
-  if (shape_ == FleetShape::kStar) {
+  if (shape_ == FleetTopology::kStar) {
     Tell(news, from, now, out);
   }
 }
--- a/fleet/endpoint_rate_exchange.h
+++ b/fleet/endpoint_rate_exchange.h
@@ -13,7 +13,7 @@
 namespace damasktack {
 
 // How what hosts say to each other spreads.
-enum class FleetShape : std::uint8_t {
+enum class FleetTopology : std::uint8_t {
   // All hosts are linked: each tells all others what it was told itself.
   kMesh,
   // Hosts are linked to a few that pass on what is new to them.
@@ -25,12 +25,12 @@
 // rates are.
 class EndpointRateExchange {
  public:
-  EndpointRateExchange(EndpointRates& rates, FleetShape shape)
+  EndpointRateExchange(EndpointRates& rates, FleetTopology shape)
       : rates_(rates), shape_(shape) {}
 
   // Runs when there is news to Share, on the thread that brought it.
-  void SetOnNews(std::function<void()> on_news) {
-    rates_.SetOnNews(std::move(on_news));
+  void SetOnUpdates(std::function<void()> on_news) {
+    rates_.SetOnUpdates(std::move(on_news));
   }
 
   // A peer that has no link yet hears of all limits in force.
@@ -58,7 +58,7 @@
             Outbox& out) const;
 
   EndpointRates& rates_;
-  const FleetShape shape_;
+  const FleetTopology shape_;
   // With the process of each where the fleet tells it.
   std::map<HostId, Incarnation> peers_;
 };
--- a/fleet/endpoint_rates.cc
+++ b/fleet/endpoint_rates.cc
@@ -35,12 +35,12 @@
   return report;
 }
 
-void EndpointRates::SetOnNews(std::function<void()> on_news) {
+void EndpointRates::SetOnUpdates(std::function<void()> on_news) {
   const std::lock_guard lock(mutex_);
   on_news_ = std::move(on_news);
 }
 
-void EndpointRates::SetOnHeard(
+void EndpointRates::SetOnReceived(
     std::function<void(const StatedRate&)> on_heard) {
   const std::lock_guard lock(mutex_);
   on_heard_ = std::move(on_heard);
@@ -91,7 +91,7 @@
   }
 }
 
-std::vector<StatedRate> EndpointRates::TakeNews() {
+std::vector<StatedRate> EndpointRates::TakeUpdates() {
   const std::lock_guard lock(mutex_);
   std::vector<StatedRate> news;
   for (const EndpointProcess& it : std::exchange(untold_, {})) {
--- a/fleet/endpoint_rates.h
+++ b/fleet/endpoint_rates.h
@@ -37,15 +37,15 @@
   // News a second that one host tells, and at once: what bounds its messages
   // where endpoints change their minds with each answer. What has to wait is
   // told with the next change.
-  static constexpr double kNewsPerSecond = 5;
-  static constexpr double kNewsAtOnce = 20;
+  static constexpr double kUpdatesPerSecond = 5;
+  static constexpr double kUpdateBurst = 20;
 
   // An endpoint itself has told this host of a change.
   void OnStated(const StatedRate& stated);
   // Takes in what a peer has told; returns what of it was news.
   std::vector<StatedRate> Take(const EndpointRateReport& report, TimePoint now);
   // What this host was told itself since the last call.
-  std::vector<StatedRate> TakeNews();
+  std::vector<StatedRate> TakeUpdates();
   // All limits in force.
   std::vector<StatedRate> InForce() const;
 
@@ -57,8 +57,8 @@
 
   // Run on the thread that brought the news, outside the lock. To be set before
   // the first statement, or with no statement under way.
-  void SetOnNews(std::function<void()> on_news);
-  void SetOnHeard(std::function<void(const StatedRate&)> on_heard);
+  void SetOnUpdates(std::function<void()> on_news);
+  void SetOnReceived(std::function<void(const StatedRate&)> on_heard);
 
  private:
   // Whether it says something that was not known; the caller holds the lock.
@@ -69,7 +69,7 @@
   std::map<EndpointProcess, StatedRate> rates_;
   // Those that peers have not been told of.
   std::set<EndpointProcess> untold_;
-  TokenBucket budget_{kNewsPerSecond, kNewsAtOnce};
+  TokenBucket budget_{kUpdatesPerSecond, kUpdateBurst};
   std::function<void()> on_news_;
   std::function<void(const StatedRate&)> on_heard_;
 };
--- a/fleet/feed_options.h
+++ b/fleet/feed_options.h
@@ -24,12 +24,12 @@
   Duration stale = std::chrono::milliseconds(1400);
   Duration seed_stale = std::chrono::milliseconds(1000);
   // How long a host that starts waits for a feed before it asks the store.
-  Duration start_patience = std::chrono::milliseconds(250);
+  Duration initial_feed_timeout = std::chrono::milliseconds(250);
   // Whether a host that starts reads any copy of the store at once: first the
   // routes and a part of the endpoints, which it serves by, then all of them.
   // After a loss of power all hosts start together and nobody can feed them;
   // what an old copy says is as good as what they knew before, and is confirmed
-  // or replaced within start_patience.
+  // or replaced within initial_feed_timeout.
   bool early_read = false;
   // The same patience from the moment when such a copy has been read: the host
   // can serve by it, and the seeds are back within a second after a loss of
--- a/fleet/fleet_claim_gate.cc
+++ b/fleet/fleet_claim_gate.cc
@@ -90,7 +90,7 @@
   exchange_.Tick(now, out);
 }
 
-bool FleetClaimGate::MayEnd() const {
+bool FleetClaimGate::IsSafeToStop() const {
   const ClaimStatus status = Status();
   // A bucket that was promised to a takeover is no longer kept, but a takeover
   // that then ends with its host leaves these records the only ones: two hosts
--- a/fleet/fleet_claim_gate.h
+++ b/fleet/fleet_claim_gate.h
@@ -32,7 +32,7 @@
   // and after it has ended, every claim is unavailable.
   void SetWake(std::function<void()> wake);
   // Without peers, whatever the list says.
-  void SetAlone() { alone_ = true; }
+  void SetStandalone() { alone_ = true; }
 
   void OnView(const HostView& view, TimePoint now, Outbox& out);
   void OnMessage(const Sender& sender,
@@ -43,7 +43,7 @@
 
   // Nothing would be lost if this process ended: every end is acknowledged and
   // every bucket that another host can keep is kept there.
-  bool MayEnd() const;
+  bool IsSafeToStop() const;
   ClaimStatus Status() const;
 
  private:
--- a/fleet/fleet_core.cc
+++ b/fleet/fleet_core.cc
@@ -8,7 +8,7 @@
 namespace damasktack {
 
 static_assert(FleetModule<DocumentStore>);
-static_assert(FleetModule<DrainSightings>);
+static_assert(FleetModule<DrainObservations>);
 static_assert(FleetModule<CrashExchange>);
 
 FleetCore::FleetCore(FleetCoreOptions options,
@@ -18,7 +18,7 @@
       membership_(options_.membership),
       documents_(options_.documents, std::move(check), random_seed) {
   if (options_.gates.rates != nullptr) {
-    rates_.emplace(*options_.gates.rates, FleetShape::kMesh);
+    rates_.emplace(*options_.gates.rates, FleetTopology::kMesh);
   }
   if (options_.gates.quarantine != nullptr) {
     crashes_.emplace(*options_.gates.quarantine);
@@ -56,7 +56,7 @@
     return;
   }
   if (!membership_.OnMessage(sender, *message, now)) {
-    ++counters_.messages_unheard;
+    ++counters_.messages_unknown_sender;
     return;
   }
   ++counters_.messages_received;
@@ -72,9 +72,9 @@
   Settle(now);
 }
 
-void FleetCore::PlatformAsked(DocumentName name,
-                              std::uint64_t check,
-                              TimePoint now) {
+void FleetCore::OnPlatformQueried(DocumentName name,
+                                  std::uint64_t check,
+                                  TimePoint now) {
   if (check != check_number_) {
     return;
   }
@@ -102,16 +102,16 @@
 void FleetCore::SetLeaving(TimePoint now) {
   membership_.SetLeaving(now, out_);
   if (options_.gates.limits != nullptr) {
-    options_.gates.limits->HandBack(out_);
+    options_.gates.limits->ReturnLeases(out_);
   }
   Settle(now);
 }
 
-void FleetCore::SayGoodbye() {
-  membership_.SayGoodbye(out_);
+void FleetCore::SendGoodbye() {
+  membership_.SendGoodbye(out_);
 }
 
-void FleetCore::ServeClaims(TimePoint now) {
+void FleetCore::ProcessClaims(TimePoint now) {
   if (options_.gates.claims != nullptr) {
     options_.gates.claims->Tick(now, out_);
   }
@@ -138,7 +138,7 @@
   ++check_number_;
   check_began_ = now;
   platform_asked_ = {};
-  documents_.AskAll(out_);
+  documents_.RequestAllDigests(out_);
 }
 
 // The peers are waited for only as long as `peer_wait`: those that cannot be
@@ -150,7 +150,7 @@
   }
   const bool platform_asked =
       std::ranges::all_of(platform_asked_, [](bool it) { return it; });
-  const bool peers_asked = documents_.HasHeardAll() && AllPeersReached();
+  const bool peers_asked = documents_.HasAllDigests() && AllPeersReached();
   const bool waited = now - check_began_ >= options_.peer_wait;
   ready_ = platform_asked && (peers_asked || waited);
 }
--- a/fleet/fleet_core.h
+++ b/fleet/fleet_core.h
@@ -8,7 +8,7 @@
 
 #include "fleet/crash_exchange.h"
 #include "fleet/document_store.h"
-#include "fleet/drain_sightings.h"
+#include "fleet/drain_observations.h"
 #include "fleet/endpoint_rate_exchange.h"
 #include "fleet/fleet_claim_gate.h"
 #include "fleet/fleet_limit_gate.h"
@@ -37,7 +37,7 @@
 struct FleetCounters {
   std::uint64_t messages_received = 0;
   // From another process than the linked one, or of no known host.
-  std::uint64_t messages_unheard = 0;
+  std::uint64_t messages_unknown_sender = 0;
   // Unknown kinds and newer versions.
   std::uint64_t messages_ignored = 0;
   std::uint64_t messages_malformed = 0;
@@ -61,22 +61,22 @@
   void Offer(Document document, DocumentOrigin origin, TimePoint now);
   // The platform was asked for a document under this check: it answered, or it
   // cannot be reached.
-  void PlatformAsked(DocumentName name, std::uint64_t check, TimePoint now);
+  void OnPlatformQueried(DocumentName name, std::uint64_t check, TimePoint now);
   // An endpoint has told this host that it drains.
-  void DrainSighted(const DrainSighting& sighting, TimePoint now) {
-    drains_.Sighted(sighting, now, out_);
+  void OnDrainObserved(const DrainObservation& sighting, TimePoint now) {
+    drains_.OnObserved(sighting, now, out_);
   }
   // Drains that peers have seen, since the last call.
-  std::set<DrainSighting> TakeHeardDrains() { return drains_.TakeHeard(); }
+  std::set<DrainObservation> TakePeerDrains() { return drains_.TakeReceived(); }
   void Tick(TimePoint now);
 
   // The process was stopped for a while and believes old things. It is not
   // ready until it has asked platform and peers again.
   void OnLateWake(TimePoint now);
   void SetLeaving(TimePoint now);
-  void SayGoodbye();
+  void SendGoodbye();
   // Carries out what callers' threads have left at the claim gate.
-  void ServeClaims(TimePoint now);
+  void ProcessClaims(TimePoint now);
   // An operator's word that the last known process of `host` has ended.
   void ConfirmGone(const HostId& host);
 
@@ -124,7 +124,7 @@
   const FleetCoreOptions options_;
   Membership membership_;
   DocumentStore documents_;
-  DrainSightings drains_;
+  DrainObservations drains_;
   // Null without a quarantine.
   std::optional<CrashExchange> crashes_;
   // Null where nobody asks for them.
--- a/fleet/fleet_limit_gate.cc
+++ b/fleet/fleet_limit_gate.cc
@@ -59,7 +59,7 @@
   ledger_.SetContracts(contracts, read_clock_());
 }
 
-void FleetLimitGate::SetAlone() {
+void FleetLimitGate::SetStandalone() {
   alone_ = true;
   Outbox nobody;
   OnView({}, read_clock_(), nobody);
@@ -70,9 +70,9 @@
   ledger_.ConfirmGone(host, read_clock_(), out);
 }
 
-void FleetLimitGate::HandBack(Outbox& out) {
+void FleetLimitGate::ReturnLeases(Outbox& out) {
   const std::lock_guard lock(mutex_);
-  ledger_.HandBack(read_clock_(), out);
+  ledger_.ReturnLeases(read_clock_(), out);
 }
 
 CountedFleet FleetLimitGate::Counted() const {
@@ -80,7 +80,7 @@
   return ledger_.Counted();
 }
 
-LimitLedgerStatus FleetLimitGate::Status() const {
+LimitAllocatorStatus FleetLimitGate::Status() const {
   const std::lock_guard lock(mutex_);
   return ledger_.Status(read_clock_());
 }
--- a/fleet/fleet_limit_gate.h
+++ b/fleet/fleet_limit_gate.h
@@ -5,12 +5,12 @@
 #include <mutex>
 #include <vector>
 
+#include "fleet/limit_allocator.h"
 #include "fleet/limit_gate.h"
-#include "fleet/limit_ledger.h"
 
 namespace damasktack {
 
-// The LimitGate of a daemon in a fleet: a LimitLedger behind one lock, which
+// The LimitGate of a daemon in a fleet: a LimitAllocator behind one lock, which
 // callers' threads and the fleet loop share. A call is decided by what this
 // host has at hand and never waits for a message. Also a FleetModule.
 class FleetLimitGate : public LimitGate {
@@ -36,12 +36,12 @@
   void SetContracts(const std::vector<Contract>& contracts);
   // For a daemon without peers, whatever the list says: it owns every limit
   // whole.
-  void SetAlone();
+  void SetStandalone();
   void ConfirmGone(const HostId& host, Outbox& out);
-  void HandBack(Outbox& out);
+  void ReturnLeases(Outbox& out);
 
   CountedFleet Counted() const;
-  LimitLedgerStatus Status() const;
+  LimitAllocatorStatus Status() const;
 
  private:
   TimePoint Now(TimePoint told) const;
@@ -49,7 +49,7 @@
   const ReadClock read_clock_;
   bool alone_ = false;
   mutable std::mutex mutex_;
-  LimitLedger ledger_;
+  LimitAllocator ledger_;
 };
 
 static_assert(FleetModule<FleetLimitGate>);
--- a/fleet/fleet_loop.cc
+++ b/fleet/fleet_loop.cc
@@ -139,7 +139,7 @@
     SendOutbox();
     UpdateLinks();
     Publish(tick);
-    for (const DrainSighting& it : core_.TakeHeardDrains()) {
+    for (const DrainObservation& it : core_.TakePeerDrains()) {
       events_.OnHeardDrain(it);
     }
     const std::lock_guard lock(mutex_);
--- a/fleet/fleet_loop.h
+++ b/fleet/fleet_loop.h
@@ -34,7 +34,7 @@
   // readiness or check.
   virtual void OnFleetState(std::shared_ptr<const FleetState> state) = 0;
   // A peer has seen this endpoint drain.
-  virtual void OnHeardDrain(const DrainSighting& sighting) = 0;
+  virtual void OnHeardDrain(const DrainObservation& sighting) = 0;
 };
 
 // The one thread on which a FleetCore lives. Everything else reaches it by
--- a/fleet/feed_seating.cc
+++ b/fleet/host_number_allocator.cc
@@ -1,4 +1,4 @@
-#include "fleet/feed_seating.h"
+#include "fleet/host_number_allocator.h"
 
 #include <algorithm>
 #include <bit>
@@ -15,14 +15,14 @@
 
 }  // namespace
 
-void FeedSeating::SetRank(std::optional<std::int64_t> rank,
-                          std::int64_t seeds) {
+void HostNumberAllocator::SetRank(std::optional<std::int64_t> rank,
+                                  std::int64_t seeds) {
   rank_ = rank;
   seeds_ = std::max<std::int64_t>(seeds, 1);
   MakeRoom(0);
 }
 
-void FeedSeating::MakeRoom(std::int64_t most_index) {
+void HostNumberAllocator::MakeRoom(std::int64_t most_index) {
   const std::int64_t indexes = std::min(most_index, kMostIndex) + 1;
   const std::int64_t needed = seeds_ * indexes;
   const auto step = static_cast<std::int64_t>(std::max<std::uint64_t>(
@@ -30,14 +30,14 @@
   seats_ = std::max(seats_, (needed + step - 1) / step * step);
 }
 
-bool FeedSeating::IsFree(std::int64_t index) const {
+bool HostNumberAllocator::IsFree(std::int64_t index) const {
   return std::ranges::none_of(
       held_, [index](const auto& it) { return it.second.index == index; });
 }
 
-std::int64_t FeedSeating::IndexOf(const HostId& host,
-                                  const FleetSeat& claimed,
-                                  TimePoint now) {
+std::int64_t HostNumberAllocator::IndexOf(const HostId& host,
+                                          const HostNumber& claimed,
+                                          TimePoint now) {
   std::erase_if(held_, [&](const auto& it) {
     return it.first != host && now - it.second.heard_at >= kHeld;
   });
@@ -59,45 +59,45 @@
   return index;
 }
 
-FleetSeat FeedSeating::SeatOf(const HostId& host,
-                              const FleetSeat& claimed,
-                              std::int64_t others,
-                              TimePoint now) {
+HostNumber HostNumberAllocator::SeatOf(const HostId& host,
+                                       const HostNumber& claimed,
+                                       std::int64_t others,
+                                       TimePoint now) {
   const std::int64_t index = IndexOf(host, claimed, now);
   MakeRoom(std::max(index, others));
   return {NumberOf(index), seats_};
 }
 
-void FeedSeating::HearSeats(std::int64_t seats) {
+void HostNumberAllocator::HearSeats(std::int64_t seats) {
   if (seats <= seeds_ * kMostIndex) {
     seats_ = std::max(seats_, seats);
   }
 }
 
-void FeedSeating::OnSeat(const HostId& seed, const FleetSeat& seat) {
+void HostNumberAllocator::OnSeat(const HostId& seed, const HostNumber& seat) {
   told_ = seat;
   told_by_ = seed;
   ends_at_.reset();
 }
 
-void FeedSeating::OnLinkUp(const HostId& seed) {
+void HostNumberAllocator::OnLinkUp(const HostId& seed) {
   if (seed == told_by_) {
     ends_at_.reset();
   }
 }
 
-void FeedSeating::OnLinkDown(const HostId& seed, TimePoint now) {
+void HostNumberAllocator::OnLinkDown(const HostId& seed, TimePoint now) {
   if (seed == told_by_ && !ends_at_) {
     ends_at_ = now + kLease;
   }
 }
 
-FleetSeat FeedSeating::Own(TimePoint now) const {
+HostNumber HostNumberAllocator::Own(TimePoint now) const {
   if (rank_) {
     return {NumberOf(0), seats_};
   }
   const bool has_ended = ends_at_ && now >= *ends_at_;
-  return has_ended ? FleetSeat() : told_;
+  return has_ended ? HostNumber() : told_;
 }
 
 }  // namespace damasktack
--- a/fleet/feed_seating.h
+++ b/fleet/host_number_allocator.h
@@ -1,5 +1,5 @@
-#ifndef FLEET_FEED_SEATING_H_
-#define FLEET_FEED_SEATING_H_
+#ifndef FLEET_HOST_NUMBER_ALLOCATOR_H_
+#define FLEET_HOST_NUMBER_ALLOCATOR_H_
 
 #include <cstdint>
 #include <map>
@@ -7,7 +7,7 @@
 
 #include "core/ids.h"
 #include "core/time.h"
-#include "policy/fleet_seat.h"
+#include "policy/host_number.h"
 
 namespace damasktack {
 
@@ -18,7 +18,7 @@
 // for that host for longer, so that a number passes to another host only when
 // nobody goes by it any more. A seed that has started anew takes over the
 // numbers that its hosts tell it.
-class FeedSeating {
+class HostNumberAllocator {
  public:
   // For how long a host goes by a number after its link to the seed went down,
   // and for how long a seed keeps the number of a host that it does not hear.
@@ -30,19 +30,19 @@
 
   // At a seed: the seat of a host that follows it and says which it has.
   // `others` is the most hosts that follow another seed.
-  FleetSeat SeatOf(const HostId& host,
-                   const FleetSeat& claimed,
-                   std::int64_t others,
-                   TimePoint now);
+  HostNumber SeatOf(const HostId& host,
+                    const HostNumber& claimed,
+                    std::int64_t others,
+                    TimePoint now);
   // How many seats another host believes that there are.
   void HearSeats(std::int64_t seats);
   // At another host: what a seed says, and that the link to it is up or down.
-  void OnSeat(const HostId& seed, const FleetSeat& seat);
+  void OnSeat(const HostId& seed, const HostNumber& seat);
   void OnLinkUp(const HostId& seed);
   void OnLinkDown(const HostId& seed, TimePoint now);
 
   // This host's own; none where it has not been told.
-  FleetSeat Own(TimePoint now) const;
+  HostNumber Own(TimePoint now) const;
 
  private:
   struct Held {
@@ -52,7 +52,7 @@
   };
 
   std::int64_t IndexOf(const HostId& host,
-                       const FleetSeat& claimed,
+                       const HostNumber& claimed,
                        TimePoint now);
   bool IsFree(std::int64_t index) const;
   std::int64_t NumberOf(std::int64_t index) const {
@@ -67,11 +67,11 @@
   std::int64_t seats_ = 1;
   std::map<HostId, Held> held_;
 
-  FleetSeat told_;
+  HostNumber told_;
   HostId told_by_;
   std::optional<TimePoint> ends_at_;
 };
 
 }  // namespace damasktack
 
-#endif  // FLEET_FEED_SEATING_H_
+#endif  // FLEET_HOST_NUMBER_ALLOCATOR_H_
--- a/fleet/limit_account.cc
+++ b/fleet/limit_account.cc
@@ -126,7 +126,7 @@
 }
 
 std::int64_t LimitAccount::Lend(const HostId& borrower,
-                                const LendAskItem& item,
+                                const LendRequestItem& item,
                                 TimePoint now) {
   Accrue(now);
   const std::int64_t left = owned_ - loans_.total();
--- a/fleet/limit_account.h
+++ b/fleet/limit_account.h
@@ -7,8 +7,8 @@
 #include "core/ids.h"
 #include "core/time.h"
 #include "fleet/fleet_module.h"
-#include "fleet/limit_debts.h"
-#include "fleet/limit_loans.h"
+#include "fleet/limit_borrower.h"
+#include "fleet/limit_lender.h"
 #include "fleet/limit_messages.h"
 #include "fleet/limit_options.h"
 
@@ -49,7 +49,7 @@
   bool Fits(TimePoint now) const;
 
   std::int64_t Lend(const HostId& borrower,
-                    const LendAskItem& item,
+                    const LendRequestItem& item,
                     TimePoint now);
   void TakeBack(const HostId& borrower, std::uint64_t lease, TimePoint now);
   void OnGrant(const Sender& lender, const LendGrantItem& item, TimePoint now);
@@ -59,7 +59,7 @@
   void Round(TimePoint now);
   // What is missing for the expected demand, beyond what was asked for.
   std::int64_t Missing(TimePoint now) const;
-  LimitDebts& debts() { return debts_; }
+  LimitBorrower& debts() { return debts_; }
   // Of a size that one lender is likely to have.
   std::int64_t TypicalPart() const;
   void GiveUpSurplus(TimePoint now);
@@ -79,8 +79,8 @@
   Duration longest_call_{};
   std::int64_t hosts_ = 1;
   std::int64_t owned_ = 0;
-  LimitLoans loans_;
-  LimitDebts debts_;
+  LimitLender loans_;
+  LimitBorrower debts_;
 
   // Rate: calls that may start now, and when that was worked out.
   double tokens_ = 0;
--- a/fleet/limit_ledger.cc
+++ b/fleet/limit_allocator.cc
@@ -1,4 +1,4 @@
-#include "fleet/limit_ledger.h"
+#include "fleet/limit_allocator.h"
 
 #include <algorithm>
 #include <functional>
@@ -48,9 +48,9 @@
 
 }  // namespace
 
-LimitLedger::LimitLedger(HostId self,
-                         Incarnation incarnation,
-                         LimitOptions options)
+LimitAllocator::LimitAllocator(HostId self,
+                               Incarnation incarnation,
+                               LimitOptions options)
     : options_(options),
       hosts_(self, incarnation, options),
       // Leases of an earlier process of this host must never be mistaken for
@@ -58,15 +58,17 @@
       next_lease_(incarnation),
       next_lender_(std::hash<HostId>()(self)) {}
 
-void LimitLedger::OnView(const HostView& view, TimePoint now, Outbox& /*out*/) {
+void LimitAllocator::OnView(const HostView& view,
+                            TimePoint now,
+                            Outbox& /*out*/) {
   hosts_.OnView(view, now);
   Divide(now);
 }
 
-void LimitLedger::OnMessage(const Sender& sender,
-                            const PeerMessage& message,
-                            TimePoint now,
-                            Outbox& out) {
+void LimitAllocator::OnMessage(const Sender& sender,
+                               const PeerMessage& message,
+                               TimePoint now,
+                               Outbox& out) {
   std::visit(
       [&](const auto& it) {
         if constexpr (requires { On(sender, it, now, out); }) {
@@ -83,10 +85,10 @@
       message);
 }
 
-void LimitLedger::On(const Sender& sender,
-                     const CountAsk& /*ask*/,
-                     TimePoint now,
-                     Outbox& out) {
+void LimitAllocator::On(const Sender& sender,
+                        const CountRequest& /*ask*/,
+                        TimePoint now,
+                        Outbox& out) {
   // Leases that an earlier process of the asker granted are no longer its to
   // give: it will own its part again once everyone has acknowledged it.
   for (auto& [customer, accounts] : accounts_) {
@@ -102,39 +104,39 @@
   }
 }
 
-void LimitLedger::On(const Sender& sender,
-                     const CountAck& ack,
-                     TimePoint now,
-                     Outbox& /*out*/) {
+void LimitAllocator::On(const Sender& sender,
+                        const CountAck& ack,
+                        TimePoint now,
+                        Outbox& /*out*/) {
   hosts_.OnAck(sender, ack);
   Divide(now);
 }
 
-void LimitLedger::On(const Sender& /*sender*/,
-                     const GoneHosts& gone,
-                     TimePoint now,
-                     Outbox& out) {
+void LimitAllocator::On(const Sender& /*sender*/,
+                        const GoneHosts& gone,
+                        TimePoint now,
+                        Outbox& out) {
   for (const CountedHost& it : gone.gone) {
     LearnGone(it, now, out);
   }
 }
 
-void LimitLedger::On(const Sender& sender,
-                     const Goodbye& /*goodbye*/,
-                     TimePoint now,
-                     Outbox& out) {
+void LimitAllocator::On(const Sender& sender,
+                        const Goodbye& /*goodbye*/,
+                        TimePoint now,
+                        Outbox& out) {
   LearnGone({sender.host, sender.incarnation}, now, out);
 }
 
-void LimitLedger::On(const Sender& sender,
-                     const LendAsk& ask,
-                     TimePoint now,
-                     Outbox& out) {
+void LimitAllocator::On(const Sender& sender,
+                        const LendRequest& ask,
+                        TimePoint now,
+                        Outbox& out) {
   LendGrant answer;
-  for (const LendAskItem& it : ask.items) {
+  for (const LendRequestItem& it : ask.items) {
     const auto found = accounts_.find(it.customer);
     std::int64_t amount = 0;
-    if (found != accounts_.end() && !handing_back_) {
+    if (found != accounts_.end() && !returning_leases_) {
       LimitAccount& account = found->second.kinds[IndexOf(it.kind)];
       amount = account.Lend(sender.host, it, now);
     }
@@ -145,10 +147,10 @@
   out.Send(sender.host, std::move(answer));
 }
 
-void LimitLedger::On(const Sender& sender,
-                     const LendGrant& grant,
-                     TimePoint now,
-                     Outbox& /*out*/) {
+void LimitAllocator::On(const Sender& sender,
+                        const LendGrant& grant,
+                        TimePoint now,
+                        Outbox& /*out*/) {
   for (const LendGrantItem& it : grant.items) {
     const auto found = accounts_.find(it.customer);
     if (found != accounts_.end()) {
@@ -157,10 +159,10 @@
   }
 }
 
-void LimitLedger::On(const Sender& sender,
-                     const LendReturn& returned,
-                     TimePoint now,
-                     Outbox& /*out*/) {
+void LimitAllocator::On(const Sender& sender,
+                        const LendReturn& returned,
+                        TimePoint now,
+                        Outbox& /*out*/) {
   for (auto& [customer, accounts] : accounts_) {
     for (LimitAccount& it : accounts.kinds) {
       for (const std::uint64_t lease : returned.leases) {
@@ -170,9 +172,9 @@
   }
 }
 
-void LimitLedger::LearnGone(const CountedHost& process,
-                            TimePoint now,
-                            Outbox& out) {
+void LimitAllocator::LearnGone(const CountedHost& process,
+                               TimePoint now,
+                               Outbox& out) {
   if (!hosts_.OnGone(process, now)) {
     return;
   }
@@ -181,7 +183,9 @@
   }
 }
 
-void LimitLedger::ConfirmGone(const HostId& host, TimePoint now, Outbox& out) {
+void LimitAllocator::ConfirmGone(const HostId& host,
+                                 TimePoint now,
+                                 Outbox& out) {
   const CountedHost process = hosts_.Confirm(host, now);
   for (const HostId& it : hosts_.Reachable()) {
     out.Send(it, GoneHosts{{process}});
@@ -189,7 +193,7 @@
   Divide(now);
 }
 
-void LimitLedger::Divide(TimePoint now) {
+void LimitAllocator::Divide(TimePoint now) {
   for (auto& [customer, accounts] : accounts_) {
     for (LimitAccount& it : accounts.kinds) {
       it.SetDivision(hosts_.size(), hosts_.owns(), now);
@@ -197,7 +201,7 @@
   }
 }
 
-bool LimitLedger::Fits(TimePoint now) const {
+bool LimitAllocator::Fits(TimePoint now) const {
   for (const auto& [customer, accounts] : accounts_) {
     for (const LimitAccount& it : accounts.kinds) {
       if (it.bounded() && !it.Fits(now)) {
@@ -208,14 +212,15 @@
   return true;
 }
 
-LimitLedger::Accounts& LimitLedger::AccountsOf(const CustomerId& customer) {
+LimitAllocator::Accounts& LimitAllocator::AccountsOf(
+    const CustomerId& customer) {
   const auto it = accounts_.try_emplace(
       customer, Accounts{{LimitAccount(LimitKind::kRate, options_),
                           LimitAccount(LimitKind::kInFlight, options_)}});
   return it.first->second;
 }
 
-void LimitLedger::Configure(const Contract& contract, TimePoint now) {
+void LimitAllocator::Configure(const Contract& contract, TimePoint now) {
   Accounts& accounts = AccountsOf(contract.customer);
   const Duration longest = LongestCallOf(contract);
   for (const LimitKind kind : {LimitKind::kRate, LimitKind::kInFlight}) {
@@ -225,8 +230,8 @@
   }
 }
 
-void LimitLedger::SetContracts(const std::vector<Contract>& contracts,
-                               TimePoint now) {
+void LimitAllocator::SetContracts(const std::vector<Contract>& contracts,
+                                  TimePoint now) {
   // Forgetting what is lent would divide it a second time if the customer came
   // back at once, so accounts in use stay, without a limit.
   for (auto& [customer, accounts] : accounts_) {
@@ -247,7 +252,7 @@
 
 // A call may come under a contract that the ledger has not seen yet, or no
 // longer: its limits hold all the same.
-void LimitLedger::ConfigureMissing(const Contract& contract, TimePoint now) {
+void LimitAllocator::ConfigureMissing(const Contract& contract, TimePoint now) {
   const Accounts& accounts = AccountsOf(contract.customer);
   for (const LimitKind kind : {LimitKind::kRate, LimitKind::kInFlight}) {
     const bool bounded = accounts.kinds[IndexOf(kind)].bounded();
@@ -258,7 +263,8 @@
   }
 }
 
-LimitGate::Verdict LimitLedger::Enter(const Contract& contract, TimePoint now) {
+LimitGate::Verdict LimitAllocator::Enter(const Contract& contract,
+                                         TimePoint now) {
   ConfigureMissing(contract, now);
   Accounts& accounts = AccountsOf(contract.customer);
   LimitGate::Verdict verdict;
@@ -277,14 +283,14 @@
   return verdict;
 }
 
-void LimitLedger::Leave(const CustomerId& customer, TimePoint /*now*/) {
+void LimitAllocator::Leave(const CustomerId& customer, TimePoint /*now*/) {
   const auto it = accounts_.find(customer);
   if (it != accounts_.end()) {
     it->second.kinds[IndexOf(LimitKind::kInFlight)].GiveBack();
   }
 }
 
-void LimitLedger::Tick(TimePoint now, Outbox& out) {
+void LimitAllocator::Tick(TimePoint now, Outbox& out) {
   hosts_.Tick(now);
   if (now < next_round_) {
     return;
@@ -298,25 +304,25 @@
   }
   AskForAcks(now, out);
   TellGone(now, out);
-  if (!handing_back_) {
+  if (!returning_leases_) {
     Borrow(now, out);
   }
   SendReturns(now, out);
 }
 
-void LimitLedger::AskForAcks(TimePoint now, Outbox& out) {
+void LimitAllocator::AskForAcks(TimePoint now, Outbox& out) {
   if (hosts_.owns() || now < next_ask_) {
     return;
   }
   next_ask_ = now + options_.repeat;
   for (const HostId& it : hosts_.MissingAcks()) {
-    out.Send(it, CountAsk{});
+    out.Send(it, CountRequest{});
   }
 }
 
 // A goodbye may be lost, and then its part with it: whoever knows of one tells
 // another host each second.
-void LimitLedger::TellGone(TimePoint now, Outbox& out) {
+void LimitAllocator::TellGone(TimePoint now, Outbox& out) {
   const std::vector<HostId> reachable = hosts_.Reachable();
   std::vector<CountedHost> gone = hosts_.Gone();
   if (now < next_gossip_ || reachable.empty() || gone.empty()) {
@@ -327,19 +333,19 @@
   out.Send(listener, GoneHosts{std::move(gone)});
 }
 
-void LimitLedger::Borrow(TimePoint now, Outbox& out) {
+void LimitAllocator::Borrow(TimePoint now, Outbox& out) {
   const std::vector<HostId> lenders = hosts_.Reachable();
-  Batch<LendAsk> asks;
+  Batch<LendRequest> asks;
   for (auto& [customer, accounts] : accounts_) {
     for (const LimitKind kind : {LimitKind::kRate, LimitKind::kInFlight}) {
       LimitAccount& account = accounts.kinds[IndexOf(kind)];
-      const auto add = [&, &customer = customer](const LimitDebts::Ask& it) {
+      const auto add = [&, &customer = customer](const LimitBorrower::Ask& it) {
         ++counters_.asks;
         asks.For(it.lender).items.push_back(
             {it.lease, it.renewal, customer, kind, it.amount});
       };
       account.GiveUpSurplus(now);
-      for (const LimitDebts::Ask& it : account.debts().Due(now)) {
+      for (const LimitBorrower::Ask& it : account.debts().Due(now)) {
         add(it);
       }
       std::int64_t missing = account.Missing(now);
@@ -357,7 +363,7 @@
   asks.Send(out);
 }
 
-void LimitLedger::SendReturns(TimePoint now, Outbox& out) {
+void LimitAllocator::SendReturns(TimePoint now, Outbox& out) {
   Batch<LendReturn> returns;
   for (auto& [customer, accounts] : accounts_) {
     for (LimitAccount& it : accounts.kinds) {
@@ -366,7 +372,7 @@
       if (!it.Fits(now)) {
         continue;
       }
-      for (const LimitDebts::Return& ended : it.debts().TakeEnded()) {
+      for (const LimitBorrower::Return& ended : it.debts().TakeEnded()) {
         ++counters_.returns;
         returns.For(ended.lender).leases.push_back(ended.lease);
       }
@@ -375,8 +381,8 @@
   returns.Send(out);
 }
 
-void LimitLedger::HandBack(TimePoint now, Outbox& out) {
-  handing_back_ = true;
+void LimitAllocator::ReturnLeases(TimePoint now, Outbox& out) {
+  returning_leases_ = true;
   for (auto& [customer, accounts] : accounts_) {
     for (LimitAccount& it : accounts.kinds) {
       it.debts().GiveUpAll();
@@ -385,8 +391,8 @@
   SendReturns(now, out);
 }
 
-LimitLedgerStatus LimitLedger::Status(TimePoint now) const {
-  LimitLedgerStatus status;
+LimitAllocatorStatus LimitAllocator::Status(TimePoint now) const {
+  LimitAllocatorStatus status;
   status.counted_hosts = hosts_.size();
   status.owns = hosts_.owns();
   status.missing_acks = hosts_.MissingAcks();
@@ -405,9 +411,9 @@
   return status;
 }
 
-std::int64_t LimitLedger::Usable(const CustomerId& customer,
-                                 LimitKind kind,
-                                 TimePoint now) const {
+std::int64_t LimitAllocator::Usable(const CustomerId& customer,
+                                    LimitKind kind,
+                                    TimePoint now) const {
   const auto it = accounts_.find(customer);
   return it == accounts_.end() ? 0
                                : it->second.kinds[IndexOf(kind)].Usable(now);
--- a/fleet/limit_ledger.h
+++ b/fleet/limit_allocator.h
@@ -1,5 +1,5 @@
-#ifndef FLEET_LIMIT_LEDGER_H_
-#define FLEET_LIMIT_LEDGER_H_
+#ifndef FLEET_LIMIT_ALLOCATOR_H_
+#define FLEET_LIMIT_ALLOCATOR_H_
 
 #include <array>
 #include <cstdint>
@@ -33,7 +33,7 @@
   std::uint64_t returns = 0;
 };
 
-struct LimitLedgerStatus {
+struct LimitAllocatorStatus {
   std::int64_t counted_hosts = 1;
   bool owns = false;
   std::vector<HostId> missing_acks;
@@ -45,9 +45,9 @@
 // Keeps every customer's fleet-wide limits with the other hosts: the sum of
 // what all admit never passes a limit, whatever is lost, late or cut off.
 // A FleetModule; not safe for several threads (see FleetLimitGate).
-class LimitLedger {
+class LimitAllocator {
  public:
-  LimitLedger(HostId self, Incarnation incarnation, LimitOptions options);
+  LimitAllocator(HostId self, Incarnation incarnation, LimitOptions options);
 
   void OnView(const HostView& view, TimePoint now, Outbox& out);
   void OnMessage(const Sender& sender,
@@ -66,11 +66,11 @@
   // Told to the other hosts.
   void ConfirmGone(const HostId& host, TimePoint now, Outbox& out);
   // Graceful stop: hands back what is borrowed and lends nothing more.
-  void HandBack(TimePoint now, Outbox& out);
+  void ReturnLeases(TimePoint now, Outbox& out);
 
   // For whatever else must agree on who may act at the same time.
   CountedFleet Counted() const { return {hosts_.owns(), hosts_.Counted()}; }
-  LimitLedgerStatus Status(TimePoint now) const;
+  LimitAllocatorStatus Status(TimePoint now) const;
   // What may be used now of one limit, in kLimitUnit.
   std::int64_t Usable(const CustomerId& customer,
                       LimitKind kind,
@@ -83,7 +83,7 @@
   };
 
   void On(const Sender& sender,
-          const CountAsk& ask,
+          const CountRequest& ask,
           TimePoint now,
           Outbox& out);
   void On(const Sender& sender,
@@ -98,7 +98,10 @@
           const Goodbye& goodbye,
           TimePoint now,
           Outbox& out);
-  void On(const Sender& sender, const LendAsk& ask, TimePoint now, Outbox& out);
+  void On(const Sender& sender,
+          const LendRequest& ask,
+          TimePoint now,
+          Outbox& out);
   void On(const Sender& sender,
           const LendGrant& grant,
           TimePoint now,
@@ -130,11 +133,11 @@
   TimePoint next_round_;
   TimePoint next_ask_;
   TimePoint next_gossip_;
-  bool handing_back_ = false;
+  bool returning_leases_ = false;
 };
 
-static_assert(FleetModule<LimitLedger>);
+static_assert(FleetModule<LimitAllocator>);
 
 }  // namespace damasktack
 
-#endif  // FLEET_LIMIT_LEDGER_H_
+#endif  // FLEET_LIMIT_ALLOCATOR_H_
--- a/fleet/limit_debts.cc
+++ b/fleet/limit_borrower.cc
@@ -1,4 +1,4 @@
-#include "fleet/limit_debts.h"
+#include "fleet/limit_borrower.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-std::int64_t LimitDebts::Usable(Duration longest_call, TimePoint now) const {
+std::int64_t LimitBorrower::Usable(Duration longest_call, TimePoint now) const {
   std::int64_t usable = 0;
   for (const Debt& it : debts_) {
     const bool live = now < it.until && longest_call <= it.longest_call;
@@ -24,7 +24,7 @@
   return usable;
 }
 
-std::int64_t LimitDebts::Pending() const {
+std::int64_t LimitBorrower::Pending() const {
   std::int64_t pending = 0;
   for (const Unanswered& it : unanswered_) {
     pending += it.ask.amount;
@@ -32,16 +32,16 @@
   return pending;
 }
 
-LimitDebts::Ask LimitDebts::Borrow(const HostId& lender,
-                                   std::uint64_t lease,
-                                   std::int64_t amount,
-                                   TimePoint now) {
+LimitBorrower::Ask LimitBorrower::Borrow(const HostId& lender,
+                                         std::uint64_t lease,
+                                         std::int64_t amount,
+                                         TimePoint now) {
   const Ask ask{lender, lease, 0, amount};
   unanswered_.push_back({ask, now, now});
   return ask;
 }
 
-bool LimitDebts::Asks(const HostId& lender, TimePoint now) const {
+bool LimitBorrower::Asks(const HostId& lender, TimePoint now) const {
   const bool waits = std::any_of(
       unanswered_.begin(), unanswered_.end(),
       [&](const Unanswered& it) { return it.ask.lender == lender; });
@@ -51,10 +51,10 @@
   return !waits && !refused && debts_.size() < kMostDebts;
 }
 
-void LimitDebts::OnGrant(const HostId& lender,
-                         Incarnation incarnation,
-                         const LendGrantItem& item,
-                         TimePoint now) {
+void LimitBorrower::OnGrant(const HostId& lender,
+                            Incarnation incarnation,
+                            const LendGrantItem& item,
+                            TimePoint now) {
   const auto is_first = [&](const Unanswered& it) {
     return it.ask.lease == item.lease && it.ask.lender == lender;
   };
@@ -95,7 +95,9 @@
 
 // Where every host is short, none has anything to lend; asking all of them
 // several times a second would be most of what hosts say to each other.
-void LimitDebts::Refuse(const HostId& lender, bool lent_some, TimePoint now) {
+void LimitBorrower::Refuse(const HostId& lender,
+                           bool lent_some,
+                           TimePoint now) {
   const auto it =
       std::find_if(refusals_.begin(), refusals_.end(),
                    [&](const Refusal& one) { return one.lender == lender; });
@@ -108,7 +110,7 @@
   refusals_.push_back({lender, now + wait, wait});
 }
 
-std::vector<LimitDebts::Ask> LimitDebts::Due(TimePoint now) {
+std::vector<LimitBorrower::Ask> LimitBorrower::Due(TimePoint now) {
   std::vector<Ask> due;
   for (Unanswered& it : unanswered_) {
     if (it.sent_at + options_.repeat <= now) {
@@ -131,7 +133,7 @@
   return due;
 }
 
-void LimitDebts::Expire(TimePoint now) {
+void LimitBorrower::Expire(TimePoint now) {
   std::erase_if(unanswered_, [&](const Unanswered& it) {
     return it.asked_at + options_.lease / 2 < now;
   });
@@ -147,7 +149,7 @@
   });
 }
 
-bool LimitDebts::GiveUp(std::int64_t amount) {
+bool LimitBorrower::GiveUp(std::int64_t amount) {
   auto largest = debts_.end();
   for (auto it = debts_.begin(); it != debts_.end(); ++it) {
     const bool fits = it->amount <= amount;
@@ -163,7 +165,7 @@
   return true;
 }
 
-void LimitDebts::GiveUpAll() {
+void LimitBorrower::GiveUpAll() {
   unanswered_.clear();
   for (const Debt& it : debts_) {
     End(it);
@@ -171,13 +173,13 @@
   debts_.clear();
 }
 
-void LimitDebts::DropOthers(const HostId& lender, Incarnation incarnation) {
+void LimitBorrower::DropOthers(const HostId& lender, Incarnation incarnation) {
   std::erase_if(debts_, [&](const Debt& it) {
     return it.lender == lender && it.incarnation != incarnation;
   });
 }
 
-std::vector<LimitDebts::Return> LimitDebts::TakeEnded() {
+std::vector<LimitBorrower::Return> LimitBorrower::TakeEnded() {
   return std::exchange(ended_, {});
 }
 
--- a/fleet/limit_debts.h
+++ b/fleet/limit_borrower.h
@@ -1,5 +1,5 @@
-#ifndef FLEET_LIMIT_DEBTS_H_
-#define FLEET_LIMIT_DEBTS_H_
+#ifndef FLEET_LIMIT_BORROWER_H_
+#define FLEET_LIMIT_BORROWER_H_
 
 #include <cstdint>
 #include <optional>
@@ -14,7 +14,7 @@
 
 // The borrower's side of one limit. A lease is counted from before its ask
 // was first sent, so it ends here before it ends at the lender.
-class LimitDebts {
+class LimitBorrower {
  public:
   // A wish for a lender, still without its lease's customer and kind.
   struct Ask {
@@ -28,7 +28,7 @@
     std::uint64_t lease = 0;
   };
 
-  explicit LimitDebts(const LimitOptions& options) : options_(options) {}
+  explicit LimitBorrower(const LimitOptions& options) : options_(options) {}
 
   // What may be used now, of leases that allow calls of `longest_call`.
   std::int64_t Usable(Duration longest_call, TimePoint now) const;
@@ -97,4 +97,4 @@
 
 }  // namespace damasktack
 
-#endif  // FLEET_LIMIT_DEBTS_H_
+#endif  // FLEET_LIMIT_BORROWER_H_
--- a/fleet/limit_hosts.cc
+++ b/fleet/limit_hosts.cc
@@ -171,7 +171,7 @@
   // come back, so time must: one that was cut off all the while and has been
   // off the list for long is taken for down.
   for (auto& [host, entry] : entries_) {
-    const bool silent = now - entry.heard_at > options_.orphan_hold;
+    const bool silent = now - entry.heard_at > options_.orphan_timeout;
     entry.waived =
         entry.waived || (entry.incarnation == 0 && !entry.listed && silent);
   }
@@ -265,7 +265,7 @@
   for (const auto& [host, entry] : entries_) {
     const Duration silent = now - entry.heard_at;
     if (!entry.listed && !entry.reachable && !entry.gone_at &&
-        silent > options_.orphan_hold) {
+        silent > options_.orphan_timeout) {
       orphans.push_back({{host, entry.incarnation}, silent});
     }
   }
--- a/fleet/limit_loans.cc
+++ b/fleet/limit_lender.cc
@@ -1,4 +1,4 @@
-#include "fleet/limit_loans.h"
+#include "fleet/limit_lender.h"
 
 #include <algorithm>
 
@@ -11,8 +11,8 @@
 
 }  // namespace
 
-LimitLoans::Loan* LimitLoans::Find(const HostId& borrower,
-                                   std::uint64_t lease) {
+LimitLender::Loan* LimitLender::Find(const HostId& borrower,
+                                     std::uint64_t lease) {
   const auto it =
       std::find_if(loans_.begin(), loans_.end(), [&](const Loan& loan) {
         return loan.lease == lease && loan.borrower == borrower;
@@ -20,11 +20,11 @@
   return it == loans_.end() ? nullptr : &*it;
 }
 
-std::int64_t LimitLoans::Lend(const HostId& borrower,
-                              const LendAskItem& item,
-                              std::int64_t spare,
-                              bool renews,
-                              TimePoint now) {
+std::int64_t LimitLender::Lend(const HostId& borrower,
+                               const LendRequestItem& item,
+                               std::int64_t spare,
+                               bool renews,
+                               TimePoint now) {
   if (Loan* loan = Find(borrower, item.lease)) {
     if (item.renewal > loan->renewal && !renews) {
       return 0;
@@ -44,19 +44,19 @@
   return amount;
 }
 
-void LimitLoans::TakeBack(const HostId& borrower, std::uint64_t lease) {
+void LimitLender::TakeBack(const HostId& borrower, std::uint64_t lease) {
   std::erase_if(loans_, [&](const Loan& loan) {
     return loan.lease == lease && loan.borrower == borrower;
   });
   AddUp();
 }
 
-void LimitLoans::Expire(TimePoint now) {
+void LimitLender::Expire(TimePoint now) {
   std::erase_if(loans_, [&](const Loan& loan) { return loan.until < now; });
   AddUp();
 }
 
-void LimitLoans::AddUp() {
+void LimitLender::AddUp() {
   total_ = 0;
   for (const Loan& loan : loans_) {
     total_ += loan.amount;
--- a/fleet/limit_loans.h
+++ b/fleet/limit_lender.h
@@ -1,5 +1,5 @@
-#ifndef FLEET_LIMIT_LOANS_H_
-#define FLEET_LIMIT_LOANS_H_
+#ifndef FLEET_LIMIT_LENDER_H_
+#define FLEET_LIMIT_LENDER_H_
 
 #include <cstdint>
 #include <vector>
@@ -13,16 +13,16 @@
 // The lender's side of one limit: parts that others may be using. A part
 // counts as lent from before the grant is sent until `hold` after it, so every
 // use of it by the borrower ends earlier.
-class LimitLoans {
+class LimitLender {
  public:
   // `hold` covers the lease and whatever outlasts it.
-  explicit LimitLoans(Duration hold) : hold_(hold) {}
+  explicit LimitLender(Duration hold) : hold_(hold) {}
 
   // The amount lent under this item: of `spare` for a first ask, the same as
   // before for a repeated one or a renewal. A renewal of a lease that has
   // ended, or of one that the lender needs back, lends nothing.
   std::int64_t Lend(const HostId& borrower,
-                    const LendAskItem& item,
+                    const LendRequestItem& item,
                     std::int64_t spare,
                     bool renews,
                     TimePoint now);
@@ -52,4 +52,4 @@
 
 }  // namespace damasktack
 
-#endif  // FLEET_LIMIT_LOANS_H_
+#endif  // FLEET_LIMIT_LENDER_H_
--- a/fleet/limit_messages.cc
+++ b/fleet/limit_messages.cc
@@ -59,15 +59,15 @@
   return item;
 }
 
-Json CountAsk::ToJson() const {
+Json CountRequest::ToJson() const {
   return Json::object();
 }
 
-leaf::result<CountAsk> CountAsk::Parse(const Json& json,
-                                       const std::string& path) {
+leaf::result<CountRequest> CountRequest::Parse(const Json& json,
+                                               const std::string& path) {
   JsonReader reader(json, path);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
-  return CountAsk{};
+  return CountRequest{};
 }
 
 Json CountAck::ToJson() const {
@@ -100,7 +100,7 @@
   return message;
 }
 
-Json LendAskItem::ToJson() const {
+Json LendRequestItem::ToJson() const {
   return Json{{"lease", lease},
               {"renewal", renewal},
               {"customer", customer.text()},
@@ -108,9 +108,9 @@
               {"amount", amount}};
 }
 
-leaf::result<LendAskItem> LendAskItem::Parse(const Json& json,
-                                             const std::string& path) {
-  LendAskItem item;
+leaf::result<LendRequestItem> LendRequestItem::Parse(const Json& json,
+                                                     const std::string& path) {
+  LendRequestItem item;
   JsonReader reader(json, path);
   reader.Read("lease", item.lease);
   reader.Read("renewal", item.renewal);
@@ -121,13 +121,13 @@
   return item;
 }
 
-Json LendAsk::ToJson() const {
+Json LendRequest::ToJson() const {
   return Json{{"items", detail::ListToJson(items)}};
 }
 
-leaf::result<LendAsk> LendAsk::Parse(const Json& json,
-                                     const std::string& path) {
-  LendAsk message;
+leaf::result<LendRequest> LendRequest::Parse(const Json& json,
+                                             const std::string& path) {
+  LendRequest message;
   JsonReader reader(json, path);
   detail::ReadList(reader, "items", message.items);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
--- a/fleet/limit_messages.h
+++ b/fleet/limit_messages.h
@@ -40,14 +40,14 @@
 };
 
 // Asks the receiver to count the sender in every division from now on.
-struct CountAsk {
+struct CountRequest {
   static constexpr std::string_view kKind = "count-ask";
 
   Json ToJson() const;
-  static leaf::result<CountAsk> Parse(const Json& json,
-                                      const std::string& path);
+  static leaf::result<CountRequest> Parse(const Json& json,
+                                          const std::string& path);
 
-  bool operator==(const CountAsk&) const = default;
+  bool operator==(const CountRequest&) const = default;
 };
 
 // The sender counts process `asker` of the receiver, and these hosts too.
@@ -81,7 +81,7 @@
 };
 
 // One wish to borrow, or to renew, a part of a customer's limit.
-struct LendAskItem {
+struct LendRequestItem {
   // Drawn by the borrower; names the lease for its whole life.
   std::uint64_t lease = 0;
   // 0 for the first ask, then one more for each renewal.
@@ -92,24 +92,25 @@
   std::int64_t amount = 0;
 
   Json ToJson() const;
-  static leaf::result<LendAskItem> Parse(const Json& json,
-                                         const std::string& path);
+  static leaf::result<LendRequestItem> Parse(const Json& json,
+                                             const std::string& path);
 
-  bool operator==(const LendAskItem&) const = default;
+  bool operator==(const LendRequestItem&) const = default;
 };
 
-struct LendAsk {
+struct LendRequest {
   static constexpr std::string_view kKind = "lend-ask";
 
-  std::vector<LendAskItem> items;
+  std::vector<LendRequestItem> items;
 
   Json ToJson() const;
-  static leaf::result<LendAsk> Parse(const Json& json, const std::string& path);
+  static leaf::result<LendRequest> Parse(const Json& json,
+                                         const std::string& path);
 
-  bool operator==(const LendAsk&) const = default;
+  bool operator==(const LendRequest&) const = default;
 };
 
-// The answer to one LendAskItem. An amount of 0 lends nothing.
+// The answer to one LendRequestItem. An amount of 0 lends nothing.
 struct LendGrantItem {
   std::uint64_t lease = 0;
   std::uint64_t renewal = 0;
--- a/fleet/limit_options.h
+++ b/fleet/limit_options.h
@@ -16,7 +16,7 @@
   Duration longest_call = std::chrono::minutes(1);
   // A counted host that is off the list and silent for so long is shown to the
   // operators as one that needs their word.
-  Duration orphan_hold = std::chrono::minutes(5);
+  Duration orphan_timeout = std::chrono::minutes(5);
   // Between two looks at demand.
   Duration round = std::chrono::milliseconds(50);
   // Between two asks for the same thing that was not answered.
--- a/fleet/membership.cc
+++ b/fleet/membership.cc
@@ -100,7 +100,7 @@
   SendHeartbeats(out);
 }
 
-void Membership::SayGoodbye(Outbox& out) {
+void Membership::SendGoodbye(Outbox& out) {
   for (const HostId& it : Linked()) {
     out.Send(it, Goodbye{});
   }
--- a/fleet/membership.h
+++ b/fleet/membership.h
@@ -40,7 +40,7 @@
   // This host begins its graceful stop; the next heartbeats say so.
   void SetLeaving(TimePoint now, Outbox& out);
   // The last message of this process.
-  void SayGoodbye(Outbox& out);
+  void SendGoodbye(Outbox& out);
   // The process was stopped for a while: silence while nobody could listen
   // proves nothing about the peers.
   void OnLateWake(TimePoint now);
--- a/fleet/peer_codec.cc
+++ b/fleet/peer_codec.cc
@@ -47,10 +47,10 @@
 }
 
 Decoded DecodePeerMessage(std::string_view frame) {
-  if (frame.size() > kLargestPeerFrame) {
+  if (frame.size() > kMaxPeerFrameBytes) {
     return Fail(ErrorKind::kTooLarge, "peer frame",
                 std::to_string(frame.size()) + " bytes",
-                "send at most " + std::to_string(kLargestPeerFrame));
+                "send at most " + std::to_string(kMaxPeerFrameBytes));
   }
   BOOST_LEAF_AUTO(json, ParseCbor(frame, "peer frame"));
   std::uint64_t version = 0;
--- a/fleet/peer_codec.h
+++ b/fleet/peer_codec.h
@@ -16,7 +16,7 @@
 // new kind needs no new version, because both are ignored where not known.
 inline constexpr std::uint64_t kPeerProtocolVersion = 1;
 // The largest document and its envelope.
-inline constexpr std::size_t kLargestPeerFrame = kLargestDocument + 4096;
+inline constexpr std::size_t kMaxPeerFrameBytes = kMaxDocumentBytes + 4096;
 
 // One frame: a CBOR map {v: version, kind: string, body: map}.
 std::string EncodePeerMessage(const PeerMessage& message);
--- a/fleet/platform_reader.cc
+++ b/fleet/platform_reader.cc
@@ -77,7 +77,7 @@
   }
 }
 
-void PlatformReader::SetKnown(DocumentName name, Revision revision) {
+void PlatformReader::SetKnownRevision(DocumentName name, Revision revision) {
   const std::lock_guard lock(mutex_);
   SlotOf(name).known = revision;
 }
@@ -150,7 +150,7 @@
   if (result.document) {
     events_.OnDocument(*result.document);
   }
-  events_.OnAsked(name, check);
+  events_.OnQueried(name, check);
   lock.lock();
   Note(slot, result, ended);
 }
--- a/fleet/platform_reader.h
+++ b/fleet/platform_reader.h
@@ -38,7 +38,7 @@
   virtual void OnDocument(Document document) = 0;
   // The platform was asked and answered, or failed; after OnDocument. `check`
   // is the one that was current when the question went out.
-  virtual void OnAsked(DocumentName name, std::uint64_t check) = 0;
+  virtual void OnQueried(DocumentName name, std::uint64_t check) = 0;
 };
 
 // Reads the platform's documents while this host is a reader, and rarely
@@ -59,7 +59,7 @@
   void SetReader(bool reader);
   void SetHosts(std::size_t hosts);
   // The revision in force; what the platform has above it is news.
-  void SetKnown(DocumentName name, Revision revision);
+  void SetKnownRevision(DocumentName name, Revision revision);
   // Reads all documents soon and unconditionally, under this check's number;
   // watches that wait are cut short.
   void ReadSoon(std::uint64_t check);
--- a/fleet/published_feed.cc
+++ b/fleet/published_feed.cc
@@ -8,7 +8,7 @@
 #include <map>
 #include <utility>
 
-#include "fleet/early_part.h"
+#include "fleet/early_read_filter.h"
 #include "fleet/seed_order.h"
 
 namespace damasktack {
@@ -59,8 +59,8 @@
     return std::min<TimePoint>(*copied_at_ + options_.copy_patience,
                                *started_at_ + options_.longest_start);
   }
-  return *started_at_ +
-         (view_.routes() ? options_.copy_patience : options_.start_patience);
+  return *started_at_ + (view_.routes() ? options_.copy_patience
+                                        : options_.initial_feed_timeout);
 }
 
 std::optional<Duration> PublishedFeed::Age(TimePoint now) const {
@@ -134,10 +134,11 @@
 std::optional<FeedStep> PublishedFeed::EarlyRead() {
   if (awaits_copy_ && !part_) {
     ++counters_.reads;
-    return FeedStep{FeedStep::Kind::kReadPart, options_.start_patience};
+    return FeedStep{FeedStep::Kind::kReadPart, options_.initial_feed_timeout};
   }
   if (awaits_copy_ && rank_ != 0) {
-    return FeedStep{FeedStep::Kind::kReadEndpoints, options_.start_patience};
+    return FeedStep{FeedStep::Kind::kReadEndpoints,
+                    options_.initial_feed_timeout};
   }
   awaits_copy_ = false;
   return std::nullopt;
@@ -214,11 +215,11 @@
                          IsOfOperator);
     part_.reset();
   }
-  view_.TakeAll(all, false, now);
+  view_.ApplyFullRead(all, false, now);
 }
 
 void PublishedFeed::OnReadAll(const PublishedItems& all, TimePoint now) {
-  view_.TakeAll(all, IsAfterOutage(now), now);
+  view_.ApplyFullRead(all, IsAfterOutage(now), now);
   is_synced_ = true;
   backoff_ = Duration::zero();
   if (std::exchange(lost_contact_, false)) {
@@ -229,7 +230,7 @@
 }
 
 void PublishedFeed::OnWatched(const PublishedItems& changes, TimePoint now) {
-  view_.TakeChanges(changes, IsAfterOutage(now), now);
+  view_.ApplyChanges(changes, IsAfterOutage(now), now);
   Confirm(now, own_number_);
   if (!changes.items.empty()) {
     next_call_ = now + options_.gather;
@@ -262,10 +263,10 @@
   return Jittered(backoff_);
 }
 
-FleetSeat PublishedFeed::Seat(TimePoint now) const {
+HostNumber PublishedFeed::Seat(TimePoint now) const {
   const bool is_settled =
       started_at_ && now - *started_at_ >= options_.seat_settling;
-  return is_settled ? seating_.Own(now) : FleetSeat();
+  return is_settled ? seating_.Own(now) : HostNumber();
 }
 
 // From half of it to one and a half, so that hosts that lost the store together
@@ -332,12 +333,12 @@
                               Outbox& out) {
   if (const auto* hello = std::get_if<FeedHello>(&message)) {
     TakeHello(host, *hello, now, out);
-  } else if (const auto* given = std::get_if<FeedSeat>(&message)) {
+  } else if (const auto* given = std::get_if<FeedNumberAssignment>(&message)) {
     seating_.OnSeat(host, given->seat);
   } else if (const auto* update = std::get_if<FeedUpdate>(&message)) {
     Take(host, *update, {}, now, out);
   } else if (const auto* part = std::get_if<FeedPart>(&message)) {
-    TakePart(host, *part, now, out);
+    ApplyPart(host, *part, now, out);
   } else if (const auto* outage = std::get_if<FeedOutage>(&message)) {
     peers_.at(host).outage_at = now;
     told_hosts_ = outage->hosts > 0 ? outage->hosts : told_hosts_;
@@ -358,18 +359,18 @@
   }
   seating_.HearSeats(hello.seat.seats);
   if (IsSeed() && !peer.IsSeed()) {
-    const FleetSeat seat =
+    const HostNumber seat =
         seating_.SeatOf(host, hello.seat, peers_.MostFollowersElsewhere(), now);
     if (seat != hello.seat) {
-      out.Send(host, FeedSeat{seat});
+      out.Send(host, FeedNumberAssignment{seat});
     }
   }
 }
 
-void PublishedFeed::TakePart(const HostId& host,
-                             const FeedPart& part,
-                             TimePoint now,
-                             Outbox& out) {
+void PublishedFeed::ApplyPart(const HostId& host,
+                              const FeedPart& part,
+                              TimePoint now,
+                              Outbox& out) {
   FeedTransfer& transfer = peers_.at(host).transfer;
   if (transfer.Continues(part, options_.part_patience, now)) {
     Take(host, part.update, part.range, now, out);
@@ -392,9 +393,9 @@
     }
     return;
   }
-  view_.TakePart(range, update.changes,
-                 update.whole ? &update.present : nullptr, update.after_outage,
-                 now);
+  view_.ApplyPart(range, update.changes,
+                  update.whole ? &update.present : nullptr, update.after_outage,
+                  now);
   if (view_.TakeMissesBook()) {
     peers_.at(host).transfer = {};
     FeedHello hello = Hello(now);
--- a/fleet/published_feed.h
+++ b/fleet/published_feed.h
@@ -7,8 +7,8 @@
 #include "core/random.h"
 #include "fleet/feed_options.h"
 #include "fleet/feed_peers.h"
-#include "fleet/feed_seating.h"
 #include "fleet/fleet_module.h"
+#include "fleet/host_number_allocator.h"
 #include "fleet/published_messages.h"
 #include "fleet/published_view.h"
 
@@ -65,7 +65,7 @@
   std::int64_t KnownHosts() const;
   // This host's place among them; none where it has not been told, or not for
   // long enough to know how many there are.
-  FleetSeat Seat(TimePoint now) const;
+  HostNumber Seat(TimePoint now) const;
 
  private:
   void FindRank();
@@ -103,10 +103,10 @@
                   Revision after,
                   TimePoint now,
                   Outbox& out);
-  void TakePart(const HostId& host,
-                const FeedPart& part,
-                TimePoint now,
-                Outbox& out);
+  void ApplyPart(const HostId& host,
+                 const FeedPart& part,
+                 TimePoint now,
+                 Outbox& out);
   void Take(const HostId& host,
             const FeedUpdate& update,
             const EndpointRange& range,
@@ -135,7 +135,7 @@
   std::int64_t told_hosts_ = 0;
   PublishedView view_;
   FeedPeers peers_;
-  FeedSeating seating_;
+  HostNumberAllocator seating_;
   FeedCounters counters_;
 
   std::optional<TimePoint> started_at_;
--- a/fleet/published_loop.cc
+++ b/fleet/published_loop.cc
@@ -51,7 +51,7 @@
 }
 
 void PublishedLoop::ShareRates(EndpointRates& rates) {
-  rate_exchange_.emplace(rates, FleetShape::kStar);
+  rate_exchange_.emplace(rates, FleetTopology::kStar);
 }
 
 void PublishedLoop::Start(PeerTransport* transport) {
@@ -79,19 +79,19 @@
 
 void PublishedLoop::ListenForNews() {
   if (crashes_) {
-    crashes_->SetOnNews([this] { SendNews(crashes_); });
+    crashes_->SetOnUpdates([this] { SendNews(crashes_); });
   }
   if (rate_exchange_) {
-    rate_exchange_->SetOnNews([this] { SendNews(rate_exchange_); });
+    rate_exchange_->SetOnUpdates([this] { SendNews(rate_exchange_); });
   }
 }
 
 void PublishedLoop::StopListening() {
   if (crashes_) {
-    crashes_->SetOnNews({});
+    crashes_->SetOnUpdates({});
   }
   if (rate_exchange_) {
-    rate_exchange_->SetOnNews({});
+    rate_exchange_->SetOnUpdates({});
   }
 }
 
@@ -197,7 +197,7 @@
   const std::int64_t hosts = feed_.KnownHosts();
   const bool has_new_size =
       hosts != told_hosts_ && IsNewSize(told_hosts_, hosts);
-  const FleetSeat seat = feed_.Seat(now);
+  const HostNumber seat = feed_.Seat(now);
   const bool has_new_seat = seat != std::exchange(told_seat_, seat);
   const bool changed =
       feed_.view().TakeChanged() || has_new_size || has_new_seat;
@@ -248,7 +248,7 @@
   if (const auto* hello = std::get_if<FeedHello>(&message)) {
     const bool is_seed = hello->rank != FeedHello::kNoSeed;
     crashes_->OnPeer(host,
-                     is_seed ? CrashListener::kSeed : CrashListener::kFollower,
+                     is_seed ? CrashPeerRole::kSeed : CrashPeerRole::kFollower,
                      Clock::now(), out_);
   } else if (const auto* report = std::get_if<CrashReport>(&message)) {
     crashes_->OnReport(host, *report, Clock::now(), out_);
--- a/fleet/published_loop.h
+++ b/fleet/published_loop.h
@@ -19,14 +19,14 @@
 
 // What is published, as one host knows it now.
 struct PublishedState {
-  std::shared_ptr<const RouteBook> routes;
+  std::shared_ptr<const RouteTable> routes;
   std::vector<PublishedEndpoint> endpoints;
   // Their endpoints are to get no calls.
   std::vector<ZoneId> drained_zones;
   // Hosts that share the endpoints; 0 where it is not known.
   std::int64_t hosts = 0;
   // This host's place among them.
-  FleetSeat seat;
+  HostNumber seat;
 };
 
 // Hears of changes, on a thread of the loop or of the links; must not block
@@ -111,7 +111,7 @@
   std::vector<SocketAddress> seeds_;
   // Hosts of the fleet as the owner was told last.
   std::int64_t told_hosts_ = 0;
-  FleetSeat told_seat_;
+  HostNumber told_seat_;
 };
 
 }  // namespace damasktack
--- a/fleet/published_messages.cc
+++ b/fleet/published_messages.cc
@@ -19,10 +19,10 @@
 // Books and their steps keep their order; all else of an update stands in
 // tables.
 std::optional<Json> RoutesToJson(const PublishedItem& item) {
-  if (const auto* book = std::get_if<RouteBook>(&item.value)) {
+  if (const auto* book = std::get_if<RouteTable>(&item.value)) {
     return Json{{"revision", item.revision}, {"routes", ToJson(*book)}};
   }
-  if (const auto* change = std::get_if<RouteBookChange>(&item.value)) {
+  if (const auto* change = std::get_if<RouteTableDelta>(&item.value)) {
     return Json{{"revision", item.revision},
                 {"routes_change", ToJson(*change)}};
   }
@@ -39,9 +39,9 @@
       book == nullptr ? reader.Object("routes_change") : nullptr;
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   if (book != nullptr) {
-    BOOST_LEAF_ASSIGN(item.value, ParseRouteBook(*book, path));
+    BOOST_LEAF_ASSIGN(item.value, ParseRouteTable(*book, path));
   } else {
-    BOOST_LEAF_ASSIGN(item.value, ParseRouteBookChange(*change, path));
+    BOOST_LEAF_ASSIGN(item.value, ParseRouteTableDelta(*change, path));
   }
   return item;
 }
@@ -111,7 +111,7 @@
   reader.Read("address", hello.address);
   reader.Read("revision", hello.revision);
   reader.ReadOptional("followers", hello.followers, 0, kMostCount);
-  reader.ReadOptional("seat", hello.seat.number, FleetSeat::kNone, kMostCount);
+  reader.ReadOptional("seat", hello.seat.number, HostNumber::kNone, kMostCount);
   reader.ReadOptional("seats", hello.seat.seats, 0, kMostCount);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   return hello;
@@ -202,13 +202,14 @@
   return part;
 }
 
-Json FeedSeat::ToJson() const {
+Json FeedNumberAssignment::ToJson() const {
   return Json{{"seat", seat.number}, {"seats", seat.seats}};
 }
 
-leaf::result<FeedSeat> FeedSeat::Parse(const Json& json,
-                                       const std::string& path) {
-  FeedSeat message;
+leaf::result<FeedNumberAssignment> FeedNumberAssignment::Parse(
+    const Json& json,
+    const std::string& path) {
+  FeedNumberAssignment message;
   JsonReader reader(json, path);
   reader.Read("seat", message.seat.number, 0, kMostCount);
   reader.Read("seats", message.seat.seats, 1, kMostCount);
--- a/fleet/published_messages.h
+++ b/fleet/published_messages.h
@@ -9,7 +9,7 @@
 #include "core/json_reader.h"
 #include "fleet/published_part.h"
 #include "fleet/published_source.h"
-#include "policy/fleet_seat.h"
+#include "policy/host_number.h"
 
 namespace damasktack {
 
@@ -28,7 +28,7 @@
   // Hosts that are no seeds and that the sender feeds.
   std::int64_t followers = 0;
   // The one that the sender has; none where it has not been told.
-  FleetSeat seat;
+  HostNumber seat;
 
   static constexpr std::int64_t kNoSeed = 1'000'000;
 
@@ -88,16 +88,16 @@
 };
 
 // A seed gives a host that follows it another seat than that host has said.
-struct FeedSeat {
+struct FeedNumberAssignment {
   static constexpr std::string_view kKind = "feed-seat";
 
-  FleetSeat seat;
+  HostNumber seat;
 
   Json ToJson() const;
-  static leaf::result<FeedSeat> Parse(const Json& json,
-                                      const std::string& path);
+  static leaf::result<FeedNumberAssignment> Parse(const Json& json,
+                                                  const std::string& path);
 
-  bool operator==(const FeedSeat&) const = default;
+  bool operator==(const FeedNumberAssignment&) const = default;
 };
 
 // The sender asks the store and gets no answer, or was told so. Without a word
--- a/fleet/published_source.h
+++ b/fleet/published_source.h
@@ -8,7 +8,7 @@
 
 #include "contract/document.h"
 #include "contract/route.h"
-#include "contract/route_book_change.h"
+#include "contract/route_table_delta.h"
 #include "core/error.h"
 #include "core/time.h"
 
@@ -48,8 +48,8 @@
 };
 
 // Changes of a book come from peers only; the store always holds it whole.
-using PublishedValue = std::variant<RouteBook,
-                                    RouteBookChange,
+using PublishedValue = std::variant<RouteTable,
+                                    RouteTableDelta,
                                     PublishedEndpoint,
                                     RemovedEndpoint,
                                     UnusableEndpoint,
--- a/fleet/published_view.cc
+++ b/fleet/published_view.cc
@@ -38,9 +38,9 @@
   constexpr std::size_t kEntriesOfRoute = 2;
   std::size_t routes = 0;
   for (const PublishedItem& it : items.items) {
-    if (const auto* book = std::get_if<RouteBook>(&it.value)) {
+    if (const auto* book = std::get_if<RouteTable>(&it.value)) {
       routes += book->routes.size();
-    } else if (const auto* step = std::get_if<RouteBookChange>(&it.value)) {
+    } else if (const auto* step = std::get_if<RouteTableDelta>(&it.value)) {
       routes += step->changed.size() + step->removed.size();
     }
   }
@@ -54,9 +54,9 @@
 
 }  // namespace
 
-void PublishedView::TakeAll(const PublishedItems& all,
-                            bool after_outage,
-                            TimePoint now) {
+void PublishedView::ApplyFullRead(const PublishedItems& all,
+                                  bool after_outage,
+                                  TimePoint now) {
   Present present;
   for (const PublishedItem& it : all.items) {
     present.Add(it.value);
@@ -73,11 +73,11 @@
   }
 }
 
-void PublishedView::TakePart(const EndpointRange& range,
-                             const PublishedItems& changes,
-                             const std::vector<EndpointId>* present,
-                             bool after_outage,
-                             TimePoint now) {
+void PublishedView::ApplyPart(const EndpointRange& range,
+                              const PublishedItems& changes,
+                              const std::vector<EndpointId>* present,
+                              bool after_outage,
+                              TimePoint now) {
   for (const PublishedItem& it : changes.items) {
     Take(it, after_outage, now);
     if (present != nullptr) {
@@ -154,18 +154,18 @@
   }
 }
 
-void PublishedView::TakeChanges(const PublishedItems& changes,
-                                bool after_outage,
-                                TimePoint now) {
-  TakePart({}, changes, nullptr, after_outage, now);
+void PublishedView::ApplyChanges(const PublishedItems& changes,
+                                 bool after_outage,
+                                 TimePoint now) {
+  ApplyPart({}, changes, nullptr, after_outage, now);
 }
 
 void PublishedView::Take(const PublishedItem& item,
                          bool after_outage,
                          TimePoint now) {
-  if (const auto* book = std::get_if<RouteBook>(&item.value)) {
+  if (const auto* book = std::get_if<RouteTable>(&item.value)) {
     TakeRoutes(*book, item.revision);
-  } else if (const auto* change = std::get_if<RouteBookChange>(&item.value)) {
+  } else if (const auto* change = std::get_if<RouteTableDelta>(&item.value)) {
     TakeRoutesChange(*change, item.revision);
   } else if (const auto* endpoint =
                  std::get_if<PublishedEndpoint>(&item.value)) {
@@ -231,23 +231,23 @@
   removal_order_.erase(oldest);
 }
 
-void PublishedView::TakeRoutes(const RouteBook& book, Revision revision) {
+void PublishedView::TakeRoutes(const RouteTable& book, Revision revision) {
   if (routes_ && book.version <= routes_->version) {
     return;
   }
   const std::optional<Error> fault =
-      FaultOf([&] { return CheckRouteBook(book); });
+      CaptureError([&] { return CheckRouteTable(book); });
   if (fault) {
     refused_.push_back(*fault);
     return;
   }
   RememberStep(book, revision);
-  routes_ = std::make_shared<RouteBook>(book);
+  routes_ = std::make_shared<RouteTable>(book);
   routes_revision_ = revision;
   changed_ = true;
 }
 
-void PublishedView::TakeRoutesChange(const RouteBookChange& change,
+void PublishedView::TakeRoutesChange(const RouteTableDelta& change,
                                      Revision revision) {
   if (routes_ && change.version <= routes_->version) {
     return;
@@ -262,11 +262,11 @@
   TakeRoutes(ApplyChange(*routes_, change), revision);
 }
 
-void PublishedView::RememberStep(const RouteBook& book, Revision revision) {
+void PublishedView::RememberStep(const RouteTable& book, Revision revision) {
   if (!routes_) {
     return;
   }
-  RouteBookChange change = CompareBooks(*routes_, book);
+  RouteTableDelta change = DiffRouteTables(*routes_, book);
   const std::size_t size = change.changed.size() + change.removed.size();
   if (size * kLargestStepPart > book.routes.size()) {
     // Whoever holds a book from before needs the whole one.
--- a/fleet/published_view.h
+++ b/fleet/published_view.h
@@ -35,29 +35,31 @@
 
   // A whole read. Endpoints that it lacks are removed; where the store was out
   // of reach before it, only after kMissingGrace.
-  void TakeAll(const PublishedItems& all, bool after_outage, TimePoint now);
+  void ApplyFullRead(const PublishedItems& all,
+                     bool after_outage,
+                     TimePoint now);
   // Some of what is published; what is not in it may be so as well.
   void TakeSome(const PublishedItems& some, TimePoint now);
   // What a feeder tells of a range. Where it cannot name each removal,
   // `present` has the endpoints that have not changed, else it is null: those
   // missing are removed as above, and all drains of zones that are in force are
   // in the first part. The last part brings this view up to its revision.
-  void TakePart(const EndpointRange& range,
-                const PublishedItems& changes,
-                const std::vector<EndpointId>* present,
-                bool after_outage,
-                TimePoint now);
+  void ApplyPart(const EndpointRange& range,
+                 const PublishedItems& changes,
+                 const std::vector<EndpointId>* present,
+                 bool after_outage,
+                 TimePoint now);
   // Changes from a watch.
-  void TakeChanges(const PublishedItems& changes,
-                   bool after_outage,
-                   TimePoint now);
+  void ApplyChanges(const PublishedItems& changes,
+                    bool after_outage,
+                    TimePoint now);
   // Removes what has been missing for too long.
   void Advance(TimePoint now);
   // When Advance has something to do next; null where nothing is missing.
   std::optional<TimePoint> NextChange() const;
 
   // Null before the first that could be read.
-  const std::shared_ptr<const RouteBook>& routes() const { return routes_; }
+  const std::shared_ptr<const RouteTable>& routes() const { return routes_; }
   std::vector<PublishedEndpoint> Endpoints() const;
   const DrainedZones& drained_zones() const { return drained_zones_; }
   Revision revision() const { return revision_; }
@@ -115,9 +117,9 @@
               TimePoint now);
   // Everything up to a revision has come.
   void ReachWhole(Revision revision);
-  void TakeRoutes(const RouteBook& book, Revision revision);
-  void TakeRoutesChange(const RouteBookChange& change, Revision revision);
-  void RememberStep(const RouteBook& book, Revision revision);
+  void TakeRoutes(const RouteTable& book, Revision revision);
+  void TakeRoutesChange(const RouteTableDelta& change, Revision revision);
+  void RememberStep(const RouteTable& book, Revision revision);
   void AddRoutesAfter(Revision after, PublishedItems& out) const;
   void AddAllButEndpoints(Revision after, PublishedPart& part) const;
   static void AddRemovalAfter(
@@ -141,13 +143,13 @@
   void Remember(const EndpointId& removed, Revision revision);
   void Miss(const EndpointId& id, bool after_outage, TimePoint now);
 
-  std::shared_ptr<const RouteBook> routes_;
+  std::shared_ptr<const RouteTable> routes_;
   Revision routes_revision_ = 0;
   struct BookStep {
     // Of the book that the step begins at, and of the one that it leads to.
     Revision base = 0;
     Revision revision = 0;
-    RouteBookChange change;
+    RouteTableDelta change;
   };
 
   // The steps that led to the book, one after the other, for peers that hold
--- a/fleet/request_quarantine.cc
+++ b/fleet/request_quarantine.cc
@@ -21,30 +21,30 @@
 
 }  // namespace
 
-CrashReport MakeCrashReport(const CrashNews& news, TimePoint now) {
+CrashReport MakeCrashReport(const CrashUpdates& news, TimePoint now) {
   CrashReport report;
-  for (const CrashSighting& it : news.sightings) {
+  for (const CrashObservation& it : news.sightings) {
     report.sightings.push_back({it.request, it.endpoint, AgeOf(it.at, now)});
   }
-  for (const CrashNews::Cleared& it : news.cleared) {
+  for (const CrashUpdates::Cleared& it : news.cleared) {
     report.cleared.push_back({it.request.request, AgeOf(it.request.at, now)});
   }
   return report;
 }
 
-RequestQuarantine::RequestQuarantine(CrashLedgerOptions options)
+RequestQuarantine::RequestQuarantine(CrashTrackerOptions options)
     : ledger_(options, std::random_device()()) {}
 
 RequestJudgement RequestQuarantine::Judge(RequestFingerprint request,
                                           TimePoint now) {
   const std::lock_guard lock(mutex_);
   const RequestJudgement judgement = ledger_.Judge(request, now);
-  NoteSize();
+  UpdateHasSuspects();
   refused_ += judgement.suspicion == Suspicion::kQuarantined ? 1 : 0;
   return judgement;
 }
 
-bool RequestQuarantine::OnBroken(const CrashSighting& sighting) {
+bool RequestQuarantine::OnBroken(const CrashObservation& sighting) {
   SuspectStep step = SuspectStep::kNone;
   {
     const std::lock_guard lock(mutex_);
@@ -54,12 +54,12 @@
       step = SuspectStep::kNone;
     }
     if (step == SuspectStep::kShare) {
-      KeepNews(sighting);
+      RecordUpdate(sighting);
     }
-    NoteSize();
+    UpdateHasSuspects();
   }
   if (step == SuspectStep::kShare) {
-    TellNews();
+    NotifyUpdates();
   }
   return step == SuspectStep::kCheck;
 }
@@ -67,24 +67,24 @@
 void RequestQuarantine::OnEndpointEnded(const EndpointProcess& endpoint) {
   {
     const std::lock_guard lock(mutex_);
-    const std::vector<CrashSighting> confirmed = ledger_.Confirm(endpoint);
+    const std::vector<CrashObservation> confirmed = ledger_.Confirm(endpoint);
     if (confirmed.empty()) {
       return;
     }
     ++endpoints_ended_;
     spdlog::info("event=endpoint-ended endpoint={} requests={}",
                  endpoint.id.text(), confirmed.size());
-    for (const CrashSighting& it : confirmed) {
-      KeepNews(it);
+    for (const CrashObservation& it : confirmed) {
+      RecordUpdate(it);
     }
   }
-  TellNews();
+  NotifyUpdates();
 }
 
 void RequestQuarantine::OnEndpointAlive(const EndpointProcess& endpoint) {
   const std::lock_guard lock(mutex_);
   ledger_.Dismiss(endpoint);
-  NoteSize();
+  UpdateHasSuspects();
 }
 
 void RequestQuarantine::OnAnswered(RequestFingerprint request, TimePoint now) {
@@ -92,7 +92,7 @@
     const std::lock_guard lock(mutex_);
     const ClearedRequest cleared{request, now};
     const std::size_t crashes = ledger_.Clear(cleared, now);
-    NoteSize();
+    UpdateHasSuspects();
     if (crashes == 0) {
       return;
     }
@@ -102,11 +102,11 @@
     spdlog::info("event=request-cleared request={} crashes={}",
                  ToString(request), crashes);
   }
-  TellNews();
+  NotifyUpdates();
 }
 
 // A host without peers has nobody who takes the news.
-void RequestQuarantine::KeepNews(const CrashSighting& sighting) {
+void RequestQuarantine::RecordUpdate(const CrashObservation& sighting) {
   if (news_.sightings.size() < kMostSightings) {
     news_.sightings.push_back(sighting);
   }
@@ -114,7 +114,7 @@
 }
 
 void RequestQuarantine::LogWhereQuarantined(
-    const CrashSighting& sighting) const {
+    const CrashObservation& sighting) const {
   if (ledger_.IsCulprit(sighting.request)) {
     spdlog::warn("event=request-quarantined request={} crashes={} endpoint={}",
                  ToString(sighting.request),
@@ -123,12 +123,12 @@
   }
 }
 
-void RequestQuarantine::SetOnNews(std::function<void()> on_news) {
+void RequestQuarantine::SetOnUpdates(std::function<void()> on_news) {
   const std::lock_guard lock(mutex_);
   on_news_ = std::move(on_news);
 }
 
-void RequestQuarantine::TellNews() {
+void RequestQuarantine::NotifyUpdates() {
   std::function<void()> on_news;
   {
     const std::lock_guard lock(mutex_);
@@ -139,16 +139,16 @@
   }
 }
 
-CrashNews RequestQuarantine::TakeNews() {
+CrashUpdates RequestQuarantine::TakeUpdates() {
   const std::lock_guard lock(mutex_);
   return std::exchange(news_, {});
 }
 
-CrashNews RequestQuarantine::Take(const CrashReport& report, TimePoint now) {
-  CrashNews news;
+CrashUpdates RequestQuarantine::Take(const CrashReport& report, TimePoint now) {
+  CrashUpdates news;
   const std::lock_guard lock(mutex_);
   for (const CrashReport::Sighting& it : report.sightings) {
-    const CrashSighting sighting{it.request, it.endpoint, now - it.age};
+    const CrashObservation sighting{it.request, it.endpoint, now - it.age};
     if (ledger_.Add(sighting, now)) {
       news.sightings.push_back(sighting);
       LogWhereQuarantined(sighting);
@@ -161,16 +161,17 @@
       news.cleared.push_back({cleared, crashes});
     }
   }
-  NoteSize();
+  UpdateHasSuspects();
   return news;
 }
 
 CrashReport RequestQuarantine::Evidence(std::size_t least,
                                         TimePoint now) const {
   const std::lock_guard lock(mutex_);
-  CrashNews all;
+  CrashUpdates all;
   for (const RequestFingerprint request : ledger_.Suspects(least)) {
-    const std::vector<CrashSighting> sightings = ledger_.SightingsOf(request);
+    const std::vector<CrashObservation> sightings =
+        ledger_.ObservationsOf(request);
     if (all.sightings.size() + sightings.size() > kMostSightings) {
       break;
     }
@@ -179,10 +180,10 @@
   return MakeCrashReport(all, now);
 }
 
-std::vector<CrashSighting> RequestQuarantine::SightingsOf(
+std::vector<CrashObservation> RequestQuarantine::ObservationsOf(
     RequestFingerprint request) const {
   const std::lock_guard lock(mutex_);
-  return ledger_.SightingsOf(request);
+  return ledger_.ObservationsOf(request);
 }
 
 std::string RequestQuarantine::RenderMetrics() const {
--- a/fleet/route_messages.cc
+++ b/fleet/route_messages.cc
@@ -54,8 +54,8 @@
   }
   return Json::array({route.contract.customer.text(), route.host, route.prefix,
                       route.idempotent, ToMicroseconds(route.timeout),
-                      ToMicroseconds(route.latency_objective), route.most_sends,
-                      static_cast<int>(route.urgency),
+                      ToMicroseconds(route.latency_objective),
+                      route.attempt_limit, static_cast<int>(route.urgency),
                       route.contract.retry_percent, std::move(targets),
                       std::move(regions)});
 }
@@ -63,7 +63,7 @@
 leaf::result<Route> ParseRoute(const Json& json, const std::string& path) {
   Route route;
   std::string name;
-  std::int64_t most_sends = 0;
+  std::int64_t attempt_limit = 0;
   std::int64_t urgency = 0;
   JsonReader reader(json, path);
   reader.Read("name", name);
@@ -72,7 +72,7 @@
   reader.ReadOptional("idempotent", route.idempotent);
   ReadTime(reader, "timeout_us", route.timeout);
   ReadTime(reader, "objective_us", route.latency_objective);
-  reader.Read("most_sends", most_sends, 1, 100);
+  reader.Read("most_sends", attempt_limit, 1, 100);
   reader.Read("urgency", urgency, 0, kUrgencyCount - 1);
   reader.Read("retry_percent", route.contract.retry_percent, 0, 100);
   std::vector<std::string> regions;
@@ -87,7 +87,7 @@
     route.allowed_regions.emplace_back(std::move(it));
   }
   route.contract.customer = CustomerId(name);
-  route.most_sends = static_cast<int>(most_sends);
+  route.attempt_limit = static_cast<int>(attempt_limit);
   route.urgency = static_cast<Urgency>(urgency);
   return route;
 }
@@ -192,16 +192,16 @@
 
 }  // namespace
 
-Json ToJson(const RouteBook& book) {
+Json ToJson(const RouteTable& book) {
   return Json{{"version", book.version},
               {"routes", RoutesToJson(book.routes)},
               {"services", ListToJson(book.services)},
               {"limits", ToJson(book.limits)}};
 }
 
-leaf::result<RouteBook> ParseRouteBook(const Json& json,
-                                       const std::string& path) {
-  RouteBook book;
+leaf::result<RouteTable> ParseRouteTable(const Json& json,
+                                         const std::string& path) {
+  RouteTable book;
   JsonReader reader(json, path);
   reader.Read("version", book.version);
   const Json* routes = reader.Object("routes");
@@ -215,7 +215,7 @@
   return book;
 }
 
-Json ToJson(const RouteBookChange& change) {
+Json ToJson(const RouteTableDelta& change) {
   return Json{{"base_version", change.base_version},
               {"version", change.version},
               {"changed", RoutesToJson(change.changed)},
@@ -224,9 +224,9 @@
               {"limits", ToJson(change.limits)}};
 }
 
-leaf::result<RouteBookChange> ParseRouteBookChange(const Json& json,
+leaf::result<RouteTableDelta> ParseRouteTableDelta(const Json& json,
                                                    const std::string& path) {
-  RouteBookChange change;
+  RouteTableDelta change;
   JsonReader reader(json, path);
   reader.Read("base_version", change.base_version);
   reader.Read("version", change.version);
--- a/fleet/route_messages.h
+++ b/fleet/route_messages.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "contract/route_book_change.h"
+#include "contract/route_table_delta.h"
 #include "core/json_reader.h"
 
 namespace damasktack {
@@ -11,12 +11,12 @@
 // How books of routes, and steps between them, are written in messages between
 // hosts: routes as a table, since a seed sends a large book to many hosts at
 // once.
-Json ToJson(const RouteBook& book);
-leaf::result<RouteBook> ParseRouteBook(const Json& json,
-                                       const std::string& path);
+Json ToJson(const RouteTable& book);
+leaf::result<RouteTable> ParseRouteTable(const Json& json,
+                                         const std::string& path);
 
-Json ToJson(const RouteBookChange& change);
-leaf::result<RouteBookChange> ParseRouteBookChange(const Json& json,
+Json ToJson(const RouteTableDelta& change);
+leaf::result<RouteTableDelta> ParseRouteTableDelta(const Json& json,
                                                    const std::string& path);
 
 }  // namespace damasktack
--- a/main/admin_client.cc
+++ b/main/admin_client.cc
@@ -113,7 +113,7 @@
   return json;
 }
 
-leaf::result<std::vector<AdminClient>> ClientsFor(
+leaf::result<std::vector<AdminClient>> MakeClients(
     const CtlInvocation& invocation,
     const std::vector<std::string>& addresses) {
   BOOST_LEAF_AUTO(token, ReadToken(invocation));
@@ -126,14 +126,14 @@
   return clients;
 }
 
-leaf::result<std::vector<AdminClient>> ClientsOf(
+leaf::result<std::vector<AdminClient>> MakeClientsForHosts(
     const CtlInvocation& invocation) {
   if (invocation.options.count(kHostOption) == 0) {
     return Fail(ErrorKind::kUsage, "--host", "nothing",
                 "specify the administration address of a host, as in --host "
                 "127.0.0.1:8081");
   }
-  return ClientsFor(
+  return MakeClients(
       invocation,
       invocation.options[kHostOption].as<std::vector<std::string>>());
 }
--- a/main/admin_client.h
+++ b/main/admin_client.h
@@ -31,12 +31,12 @@
 
 // Creates clients for `addresses` with the token and timeout given on the
 // command line or in the environment.
-leaf::result<std::vector<AdminClient>> ClientsFor(
+leaf::result<std::vector<AdminClient>> MakeClients(
     const CtlInvocation& invocation,
     const std::vector<std::string>& addresses);
 
 // Creates clients for the hosts given by --host; fails if there are none.
-leaf::result<std::vector<AdminClient>> ClientsOf(
+leaf::result<std::vector<AdminClient>> MakeClientsForHosts(
     const CtlInvocation& invocation);
 
 }  // namespace damasktack
--- a/main/call_explainer.cc
+++ b/main/call_explainer.cc
@@ -144,7 +144,7 @@
   for (const LogLine& it : lines) {
     if (it.event == "call-ended" && it.Value("call") == call) {
       explanation.calls.push_back(it);
-      explanation.meanings.push_back(Explain(it));
+      explanation.explanations.push_back(Explain(it));
       endpoints.insert(it.Value("endpoint"));
       last_line_times[it.host] = it.time;
     }
--- a/main/call_explainer.h
+++ b/main/call_explainer.h
@@ -26,7 +26,7 @@
   // The call's lines in chronological order.
   std::vector<LogLine> calls;
   // One sentence for each of these lines.
-  std::vector<std::string> meanings;
+  std::vector<std::string> explanations;
   // Events logged before the call by the hosts that handled it, which describe
   // their state: routes, endpoints, store, peers, starts and stops.
   std::vector<LogLine> beliefs;
--- a/main/compare_command.cc
+++ b/main/compare_command.cc
@@ -147,7 +147,7 @@
 }
 
 leaf::result<CtlExit> RunCompare(const CtlInvocation& invocation) {
-  BOOST_LEAF_AUTO(clients, ClientsFor(invocation, invocation.arguments));
+  BOOST_LEAF_AUTO(clients, MakeClients(invocation, invocation.arguments));
   std::vector<HostProperties> hosts;
   for (const AdminClient& it : clients) {
     BOOST_LEAF_AUTO(host, FetchState(it));
@@ -173,8 +173,8 @@
         "states and views of each other side by side and prints the facts on "
         "which they differ. Exit code 0 says that they agree, 1 that they "
         "differ.",
-    .fewest_arguments = 2,
-    .most_arguments = kAnyNumber,
+    .min_arguments = 2,
+    .max_arguments = kUnlimitedArguments,
     .hosts = CtlHosts::kByArgument,
     .add_options = nullptr,
     .run = RunCompare};
--- a/main/contract_command.cc
+++ b/main/contract_command.cc
@@ -28,12 +28,12 @@
   return Document{name, kNoRevision, std::move(text)};
 }
 
-leaf::result<ContractBook> ReadContracts(const std::string& path) {
+leaf::result<ContractList> ReadContracts(const std::string& path) {
   BOOST_LEAF_AUTO(document, ReadDocument(DocumentName::kContracts, path));
   return ParseContracts(document);
 }
 
-leaf::result<ServiceBook> ReadServices(const std::string& path) {
+leaf::result<ServiceList> ReadServices(const std::string& path) {
   BOOST_LEAF_AUTO(document, ReadDocument(DocumentName::kServices, path));
   return ParseServices(document);
 }
@@ -187,8 +187,8 @@
         "Checks each file as the daemons will; the file's member says which "
         "document it is. A fault is printed with its place, what was found "
         "and the remedy. Exit code 1 says that a file is not sound.",
-    .fewest_arguments = 1,
-    .most_arguments = kAnyNumber,
+    .min_arguments = 1,
+    .max_arguments = kUnlimitedArguments,
     .hosts = CtlHosts::kNone,
     .add_options = AddCheckOptions,
     .run = RunCheck};
@@ -201,8 +201,8 @@
         "Prints each customer whose contract is added, removed or changed "
         "with the members that differ, and those that are displaced: whose "
         "own contract stays but whose part of the sum of all shares does not.",
-    .fewest_arguments = 2,
-    .most_arguments = 2,
+    .min_arguments = 2,
+    .max_arguments = 2,
     .hosts = CtlHosts::kNone,
     .add_options = nullptr,
     .run = RunDiff};
--- a/main/ctl.cc
+++ b/main/ctl.cc
@@ -76,8 +76,8 @@
   if (given.count(kArgument) > 0) {
     arguments = given[kArgument].as<std::vector<std::string>>();
   }
-  if (arguments.size() < command.fewest_arguments ||
-      arguments.size() > command.most_arguments) {
+  if (arguments.size() < command.min_arguments ||
+      arguments.size() > command.max_arguments) {
     return Fail(ErrorKind::kUsage, std::string(command.words),
                 std::to_string(arguments.size()) + " arguments",
                 "write: " + UsageLine(command));
--- a/main/ctl_command.h
+++ b/main/ctl_command.h
@@ -37,7 +37,7 @@
   kByArgument,
 };
 
-inline constexpr std::size_t kAnyNumber = static_cast<std::size_t>(-1);
+inline constexpr std::size_t kUnlimitedArguments = static_cast<std::size_t>(-1);
 
 // One subcommand. Usage, help, shell completion and the manual page are
 // generated from its members.
@@ -49,8 +49,8 @@
   std::string_view summary;
   // Text for the manual: what the command does, prints and returns.
   std::string_view description;
-  std::size_t fewest_arguments = 0;
-  std::size_t most_arguments = 0;
+  std::size_t min_arguments = 0;
+  std::size_t max_arguments = 0;
   CtlHosts hosts = CtlHosts::kNone;
   // Adds the command's own options; null if it has none.
   void (*add_options)(boost::program_options::options_description& options) =
--- a/main/daemon.cc
+++ b/main/daemon.cc
@@ -14,7 +14,7 @@
 // The stop is complete when there has been no caller connection for this long.
 constexpr Duration kIdleTimeBeforeStop = std::chrono::milliseconds(50);
 
-// Time for the handover of claims at a stop: for outcomes that no keeper has
+// Time for the handover of claims at a stop: for outcomes that no replica has
 // acknowledged and for buckets that no other host has taken over. After it
 // their keys are rejected or answered as unknown.
 constexpr Duration kHandoverTimeout = std::chrono::seconds(3);
@@ -56,8 +56,8 @@
                                &state_.endpoint_rates()}),
              *this) {
   if (!settings_.fleet.enabled) {
-    limits_.SetAlone();
-    claims_.SetAlone();
+    limits_.SetStandalone();
+    claims_.SetStandalone();
   }
 }
 
@@ -78,7 +78,7 @@
   BOOST_LEAF_CHECK(callers_.Start());
   BOOST_LEAF_CHECK(admin_.Start());
   BOOST_LEAF_CHECK(fleet_.Start());
-  drain_relay_ = std::thread([this] { PassOnDrains(); });
+  drain_relay_ = std::thread([this] { RelayDrains(); });
   spdlog::info("event=started host={} zone={} callers={}",
                settings_.host.text(), settings_.zone.text(), callers_.port());
   return {};
@@ -119,19 +119,19 @@
                 ToString(refusal.error));
 }
 
-void Daemon::OnHeardDrain(const DrainSighting& sighting) {
+void Daemon::OnHeardDrain(const DrainObservation& sighting) {
   if (const auto dispatcher = state_.FindDispatcher(sighting.service)) {
-    dispatcher->HearDrain(sighting.endpoint, Clock::now());
+    dispatcher->OnPeerDrain(sighting.endpoint, Clock::now());
   }
 }
 
 // Reports draining endpoints to the peers, so that hosts which have not called
 // these endpoints recently learn of it.
-void Daemon::PassOnDrains() {
+void Daemon::RelayDrains() {
   while (!ended_) {
     for (const auto& [service, dispatcher] : state_.dispatchers()) {
       for (const EndpointId& it : dispatcher->TakeDrainSightings()) {
-        fleet_.PassOnDrain({service, it});
+        fleet_.BroadcastDrain({service, it});
       }
     }
     std::this_thread::sleep_for(kDrainRelayInterval);
@@ -153,14 +153,14 @@
 
 void Daemon::WaitForHandover() const {
   const TimePoint last = Clock::now() + kHandoverTimeout;
-  while (!claims_.MayEnd() && Clock::now() < last) {
+  while (!claims_.IsSafeToStop() && Clock::now() < last) {
     std::this_thread::sleep_for(kStopPoll);
   }
-  if (!claims_.MayEnd()) {
+  if (!claims_.IsSafeToStop()) {
     const ClaimStatus status = claims_.Status();
     spdlog::warn(
         "event=claims-not-handed-over host={} held_buckets={} unsettled={}",
-        settings_.host.text(), status.keeper.holds, status.unsettled);
+        settings_.host.text(), status.replica.holds, status.unsettled);
   }
 }
 
--- a/main/daemon.h
+++ b/main/daemon.h
@@ -45,9 +45,9 @@
  private:
   void OnInForce(const Document& document) override;
   void OnRefused(DocumentName name, const DocumentRefusal& refusal) override;
-  void OnHeardDrain(const DrainSighting& sighting) override;
+  void OnHeardDrain(const DrainObservation& sighting) override;
   void PutInForce();
-  void PassOnDrains();
+  void RelayDrains();
   void WaitForHandover() const;
 
   const Settings settings_;
@@ -59,8 +59,8 @@
   AdminServer admin_;
 
   mutable std::mutex mutex_;
-  std::optional<ContractBook> contracts_;
-  std::optional<ServiceBook> services_;
+  std::optional<ContractList> contracts_;
+  std::optional<ServiceList> services_;
   std::optional<HostList> hosts_;
   const TimePoint started_at_ = Clock::now();
   std::atomic<bool> stopping_ = false;
--- a/main/damasktack_main.cc
+++ b/main/damasktack_main.cc
@@ -61,7 +61,7 @@
 // Reloads the settings; if they are invalid the running ones stay in force.
 void ReloadFrom(const std::string& path, damasktack::StoreDaemon& daemon) {
   const auto reload_error =
-      damasktack::FaultOf([&]() -> damasktack::leaf::result<void> {
+      damasktack::CaptureError([&]() -> damasktack::leaf::result<void> {
         BOOST_LEAF_AUTO(settings, damasktack::LoadSettings(path));
         daemon.Reload(settings);
         return {};
--- a/main/drain_command.cc
+++ b/main/drain_command.cc
@@ -22,8 +22,8 @@
                                    AdminVerb verb,
                                    const std::string& path,
                                    const std::vector<std::string>& keys) {
-  BOOST_LEAF_AUTO(clients, ClientsOf(invocation));
-  const HostAnswers answers = AskAll(clients, verb, path);
+  BOOST_LEAF_AUTO(clients, MakeClientsForHosts(invocation));
+  const HostAnswers answers = QueryAllHosts(clients, verb, path);
   if (invocation.json) {
     invocation.out << ToJson(answers).dump(2) << "\n";
   }
@@ -64,8 +64,8 @@
         "The host answers \"not ready\" to the platform's balancer and goes "
         "on serving what still arrives. Nothing is written anywhere; a host "
         "that starts anew is not drained.",
-    .fewest_arguments = 0,
-    .most_arguments = 0,
+    .min_arguments = 0,
+    .max_arguments = 0,
     .hosts = CtlHosts::kByOption,
     .add_options = AddDrainOptions,
     .run = RunDrain};
@@ -80,8 +80,8 @@
         "Say this only when the machine is known to be off. A false word "
         "lets a customer's limit be passed. Name every running host with "
         "--host.",
-    .fewest_arguments = 1,
-    .most_arguments = 1,
+    .min_arguments = 1,
+    .max_arguments = 1,
     .hosts = CtlHosts::kByOption,
     .add_options = nullptr,
     .run = RunGone};
--- a/main/explain_command.cc
+++ b/main/explain_command.cc
@@ -48,7 +48,7 @@
   const CallExplanation found = ExplainCall(call, std::move(lines));
   if (invocation.json) {
     invocation.out << Json{{"call", call},
-                           {"meanings", found.meanings},
+                           {"meanings", found.explanations},
                            {"lines", ToJson(found.calls)},
                            {"beliefs", ToJson(found.beliefs)}}
                           .dump(2)
@@ -59,7 +59,7 @@
                       "or its line was left out in a burst (left_out in later "
                       "lines).\n";
   } else {
-    for (const std::string& it : found.meanings) {
+    for (const std::string& it : found.explanations) {
       invocation.out << call << " " << it << "\n";
     }
     invocation.out << "\nIts lines:\n";
@@ -82,8 +82,8 @@
         "rested on, and what the host had come to believe before it: routes in "
         "force, ejections of its endpoint, the store lost or regained, peers, "
         "starts and stops.",
-    .fewest_arguments = 2,
-    .most_arguments = kAnyNumber,
+    .min_arguments = 2,
+    .max_arguments = kUnlimitedArguments,
     .hosts = CtlHosts::kNone,
     .add_options = nullptr,
     .run = RunExplain};
--- a/main/fleet_metrics.cc
+++ b/main/fleet_metrics.cc
@@ -53,7 +53,7 @@
   const FleetCounters& fleet = state.counters;
   const Sample samples[] = {
       {"fleet_messages_received_total", "", fleet.messages_received},
-      {"fleet_messages_unheard_total", "", fleet.messages_unheard},
+      {"fleet_messages_unheard_total", "", fleet.messages_unknown_sender},
       {"fleet_messages_ignored_total", "", fleet.messages_ignored},
       {"fleet_messages_malformed_total", "", fleet.messages_malformed},
       {"fleet_messages_dropped_total", "", state.queue_dropped},
--- a/main/fleet_node.cc
+++ b/main/fleet_node.cc
@@ -58,7 +58,7 @@
   transport.fleet_key = options.fleet.key;
   transport.listen_ip = options.fleet.listen.ip;
   transport.listen_port = options.fleet.listen.port;
-  transport.largest_frame = kLargestPeerFrame;
+  transport.largest_frame = kMaxPeerFrameBytes;
   transport.cut_file = options.fleet.test_cut_file;
   return transport;
 }
@@ -99,7 +99,8 @@
   }
   if (options_.gates.claims != nullptr) {
     options_.gates.claims->SetWake([this] {
-      loop_.Post([](FleetCore& core, TimePoint now) { core.ServeClaims(now); });
+      loop_.Post(
+          [](FleetCore& core, TimePoint now) { core.ProcessClaims(now); });
     });
   }
   loop_.Start(*transport);
@@ -115,9 +116,9 @@
   loop_.Post([host](FleetCore& core, TimePoint) { core.ConfirmGone(host); });
 }
 
-void FleetNode::PassOnDrain(const DrainSighting& sighting) {
+void FleetNode::BroadcastDrain(const DrainObservation& sighting) {
   loop_.Post([sighting](FleetCore& core, TimePoint now) {
-    core.DrainSighted(sighting, now);
+    core.OnDrainObserved(sighting, now);
   });
 }
 
@@ -129,7 +130,7 @@
   if (options_.gates.claims != nullptr) {
     options_.gates.claims->SetWake({});
   }
-  loop_.Post([](FleetCore& core, TimePoint) { core.SayGoodbye(); });
+  loop_.Post([](FleetCore& core, TimePoint) { core.SendGoodbye(); });
   loop_.Stop();
   if (transport_) {
     std::this_thread::sleep_for(kLeaveFlushTime);
@@ -156,8 +157,8 @@
 }
 
 void FleetNode::OnFleetState(std::shared_ptr<const FleetState> state) {
-  TellDocuments(*state);
-  SteerReader(*state);
+  ReportDocuments(*state);
+  UpdateReaderRole(*state);
   if (state->ready != told_.ready) {
     spdlog::info("event=fleet-ready ready={} check={}", state->ready,
                  state->check_number);
@@ -165,13 +166,13 @@
   told_ = *state;
 }
 
-void FleetNode::TellDocuments(const FleetState& state) {
+void FleetNode::ReportDocuments(const FleetState& state) {
   for (std::size_t n = 0; n < kDocumentCount; ++n) {
     const auto name = static_cast<DocumentName>(n);
     const auto& document = state.documents[n];
     if (document && document != told_.documents[n]) {
       events_.OnInForce(*document);
-      reader_.SetKnown(name, document->revision);
+      reader_.SetKnownRevision(name, document->revision);
     }
     const auto& refusal = state.refused[n];
     const auto& reported = told_.refused[n];
@@ -181,7 +182,7 @@
   }
 }
 
-void FleetNode::SteerReader(const FleetState& state) {
+void FleetNode::UpdateReaderRole(const FleetState& state) {
   if (state.reader != told_.reader) {
     spdlog::info("event=platform-reader reader={}", state.reader);
     reader_.SetReader(state.reader);
@@ -198,9 +199,9 @@
   });
 }
 
-void FleetNode::OnAsked(DocumentName name, std::uint64_t check) {
+void FleetNode::OnQueried(DocumentName name, std::uint64_t check) {
   loop_.Post([=](FleetCore& core, TimePoint now) {
-    core.PlatformAsked(name, check, now);
+    core.OnPlatformQueried(name, check, now);
   });
 }
 
--- a/main/fleet_node.h
+++ b/main/fleet_node.h
@@ -35,7 +35,7 @@
   virtual void OnInForce(const Document& document) = 0;
   virtual void OnRefused(DocumentName name, const DocumentRefusal& refusal) = 0;
   // A peer reports that an endpoint is draining.
-  virtual void OnHeardDrain(const DrainSighting& sighting) = 0;
+  virtual void OnHeardDrain(const DrainObservation& sighting) = 0;
 };
 
 // This host's membership in the fleet. Connects the links to peers, the fleet
@@ -51,7 +51,7 @@
   void Leave();
   // Informs the peers that an endpoint has reported to this host that it is
   // draining.
-  void PassOnDrain(const DrainSighting& sighting);
+  void BroadcastDrain(const DrainObservation& sighting);
   // Records that an operator has verified that the last known process of `host`
   // has ended. This host informs the other hosts.
   void ConfirmGone(const HostId& host);
@@ -74,13 +74,13 @@
 
  private:
   void OnFleetState(std::shared_ptr<const FleetState> state) override;
-  void OnHeardDrain(const DrainSighting& sighting) override {
+  void OnHeardDrain(const DrainObservation& sighting) override {
     events_.OnHeardDrain(sighting);
   }
   void OnDocument(Document document) override;
-  void OnAsked(DocumentName name, std::uint64_t check) override;
-  void TellDocuments(const FleetState& state);
-  void SteerReader(const FleetState& state);
+  void OnQueried(DocumentName name, std::uint64_t check) override;
+  void ReportDocuments(const FleetState& state);
+  void UpdateReaderRole(const FleetState& state);
 
   const FleetNodeOptions options_;
   FleetNodeEvents& events_;
--- a/main/help_command.cc
+++ b/main/help_command.cc
@@ -120,8 +120,8 @@
     .arguments = "[COMMAND]",
     .summary = "show the commands, or one command's options",
     .description = "With --man or --man-daemon: prints a manual page.",
-    .fewest_arguments = 0,
-    .most_arguments = 2,
+    .min_arguments = 0,
+    .max_arguments = 2,
     .hosts = CtlHosts::kNone,
     .add_options = AddHelpOptions,
     .run = RunHelp};
@@ -131,8 +131,8 @@
     .arguments = "bash",
     .summary = "print completion rules for the shell",
     .description = "To use them: source <(damasktackctl completion bash)",
-    .fewest_arguments = 1,
-    .most_arguments = 1,
+    .min_arguments = 1,
+    .max_arguments = 1,
     .hosts = CtlHosts::kNone,
     .add_options = nullptr,
     .run = RunCompletion};
--- a/main/histogram_command.cc
+++ b/main/histogram_command.cc
@@ -65,9 +65,9 @@
 }
 
 leaf::result<CtlExit> RunHistogram(const CtlInvocation& invocation) {
-  BOOST_LEAF_AUTO(clients, ClientsOf(invocation));
+  BOOST_LEAF_AUTO(clients, MakeClientsForHosts(invocation));
   const HostAnswers answers =
-      AskAll(clients, AdminVerb::kGet, "/v1/histograms");
+      QueryAllHosts(clients, AdminVerb::kGet, "/v1/histograms");
   const bool added = invocation.options.count(kAddedOption) > 0;
   const std::string customer =
       invocation.options.count(kCustomerOption) > 0
@@ -93,8 +93,8 @@
         "each customer and class, five lines a decade, each with the lower "
         "end of its times and its count. Quantiles are the upper ends of "
         "their bins, at most 12 percent too high.",
-    .fewest_arguments = 0,
-    .most_arguments = 0,
+    .min_arguments = 0,
+    .max_arguments = 0,
     .hosts = CtlHosts::kByOption,
     .add_options = AddHistogramOptions,
     .run = RunHistogram};
--- a/main/host_answers.cc
+++ b/main/host_answers.cc
@@ -4,9 +4,9 @@
 
 namespace damasktack {
 
-HostAnswers AskAll(const std::vector<AdminClient>& clients,
-                   AdminVerb verb,
-                   const std::string& path) {
+HostAnswers QueryAllHosts(const std::vector<AdminClient>& clients,
+                          AdminVerb verb,
+                          const std::string& path) {
   HostAnswers answers;
   for (const AdminClient& it : clients) {
     Try(
--- a/main/host_answers.h
+++ b/main/host_answers.h
@@ -25,9 +25,9 @@
   }
 };
 
-HostAnswers AskAll(const std::vector<AdminClient>& clients,
-                   AdminVerb verb,
-                   const std::string& path);
+HostAnswers QueryAllHosts(const std::vector<AdminClient>& clients,
+                          AdminVerb verb,
+                          const std::string& path);
 
 // Returns the responses as one JSON object with the members "hosts" and
 // "errors".
--- a/main/inspect_command.cc
+++ b/main/inspect_command.cc
@@ -76,8 +76,8 @@
 leaf::result<CtlExit> Show(const CtlInvocation& invocation,
                            const std::string& path,
                            const std::vector<TableView>& views) {
-  BOOST_LEAF_AUTO(clients, ClientsOf(invocation));
-  const HostAnswers answers = AskAll(clients, AdminVerb::kGet, path);
+  BOOST_LEAF_AUTO(clients, MakeClientsForHosts(invocation));
+  const HostAnswers answers = QueryAllHosts(clients, AdminVerb::kGet, path);
   if (invocation.json) {
     invocation.out << ToJson(answers).dump(2) << "\n";
   } else if (!answers.answers.empty()) {
@@ -189,8 +189,8 @@
                     .arguments = "",
                     .summary = summary,
                     .description = description,
-                    .fewest_arguments = 0,
-                    .most_arguments = 0,
+                    .min_arguments = 0,
+                    .max_arguments = 0,
                     .hosts = CtlHosts::kByOption,
                     .add_options = nullptr,
                     .run = run};
--- a/main/load_command.cc
+++ b/main/load_command.cc
@@ -63,8 +63,8 @@
         "A bounded load generator for the demo and for experiments. Calls "
         "start at their planned times whether or not earlier ones have been "
         "answered, and latency counts from the planned time.",
-    .fewest_arguments = 0,
-    .most_arguments = 0,
+    .min_arguments = 0,
+    .max_arguments = 0,
     .hosts = CtlHosts::kNone,
     .add_options = AddLoadOptions,
     .run = RunLoad};
--- a/main/settings.cc
+++ b/main/settings.cc
@@ -70,7 +70,7 @@
 leaf::result<Json> ParseWithoutQuotes(std::string_view text,
                                       std::string_view where) {
   Json json;
-  const std::optional<Error> error = FaultOf([&]() -> leaf::result<void> {
+  const std::optional<Error> error = CaptureError([&]() -> leaf::result<void> {
     BOOST_LEAF_ASSIGN(json, ParseJson(text, where));
     return {};
   });
--- a/main/settings.h
+++ b/main/settings.h
@@ -44,7 +44,7 @@
   Duration gather = std::chrono::milliseconds(150);
   // How long a host that starts waits for its peers before it queries the
   // store.
-  Duration start_patience = std::chrono::milliseconds(250);
+  Duration initial_feed_timeout = std::chrono::milliseconds(250);
   // Until this long after the start, calls wait for the first routes: loading a
   // large route table takes time when all hosts start together.
   Duration start_hold = std::chrono::milliseconds(1500);
--- a/main/settings_command.cc
+++ b/main/settings_command.cc
@@ -57,8 +57,8 @@
     .description =
         "Checks the whole file as the daemon does when it starts. A fault is "
         "printed with its key, what was found and the remedy.",
-    .fewest_arguments = 1,
-    .most_arguments = 1,
+    .min_arguments = 1,
+    .max_arguments = 1,
     .hosts = CtlHosts::kNone,
     .add_options = nullptr,
     .run = RunCheck};
@@ -68,8 +68,8 @@
     .arguments = "",
     .summary = "print every setting with unit, default and range",
     .description = "The table of docs/SETTINGS.md.",
-    .fewest_arguments = 0,
-    .most_arguments = 0,
+    .min_arguments = 0,
+    .max_arguments = 0,
     .hosts = CtlHosts::kNone,
     .add_options = nullptr,
     .run = RunDescribe};
--- a/main/settings_reader.cc
+++ b/main/settings_reader.cc
@@ -127,7 +127,8 @@
 }
 
 leaf::result<void> SettingsReader::Finish() {
-  const std::optional<Error> error = FaultOf([&] { return reader_.Finish(); });
+  const std::optional<Error> error =
+      CaptureError([&] { return reader_.Finish(); });
   if (error) {
     return leaf::new_error(WithoutValue(*error));
   }
--- a/main/settings_sections.h
+++ b/main/settings_sections.h
@@ -7,7 +7,7 @@
 namespace damasktack::detail {
 
 // The list of all settings. Each function names the settings of a section with
-// their ranges and meanings and is run by several visitors: SettingsReader
+// their ranges and explanations and is run by several visitors: SettingsReader
 // reads the values from a file, SettingsDescriber writes the reference page,
 // SettingsSnapshot records values for comparison. A new setting needs one line
 // here and a member with its default.
@@ -125,7 +125,7 @@
                "longest time that one watch waits");
   visitor.Time("gather", options.gather, milliseconds(0), seconds(10),
                "pause after changes, so that further ones come with them");
-  visitor.Time("start_patience", options.start_patience, milliseconds(0),
+  visitor.Time("start_patience", options.initial_feed_timeout, milliseconds(0),
                minutes(1),
                "how long a host that starts waits for its peers before it "
                "asks the store");
@@ -178,7 +178,7 @@
   visitor.Time("lease", options.lease, milliseconds(200), minutes(1),
                "how long a borrowed part of a customer's limit lasts unless "
                "it is renewed; the same on every host");
-  visitor.Time("orphan_hold", options.orphan_hold, seconds(1), hours(24),
+  visitor.Time("orphan_hold", options.orphan_timeout, seconds(1), hours(24),
                "silence after which a host that is off the list is shown as "
                "an orphan; the same on every host");
 }
@@ -191,7 +191,7 @@
   visitor.Time("retention", options.retention, seconds(1), hours(24 * 30),
                "how long an ended key is remembered; later repeats run "
                "again");
-  visitor.Count("most_records", options.most_records, 1, 10'000'000, "keys",
+  visitor.Count("most_records", options.max_records, 1, 10'000'000, "keys",
                 "keys remembered on one host; new ones are refused beyond");
 }
 
--- a/main/settings_snapshot.cc
+++ b/main/settings_snapshot.cc
@@ -40,7 +40,7 @@
   Record(key, std::move(text));
 }
 
-std::vector<std::string> SettingsSnapshot::ChangedIn(
+std::vector<std::string> SettingsSnapshot::ChangedKeys(
     const SettingsSnapshot& other) const {
   std::vector<std::string> changed;
   for (std::size_t n = 0; n < values_.size(); ++n) {
@@ -55,7 +55,7 @@
                                const Settings& new_settings) {
   SettingsChange change;
   for (const std::string& it :
-       SnapshotOf(running).ChangedIn(SnapshotOf(new_settings))) {
+       SnapshotOf(running).ChangedKeys(SnapshotOf(new_settings))) {
     const bool is_reloadable =
         std::ranges::find(kReloadableSettings, it) != kReloadableSettings.end();
     (is_reloadable ? change.applied : change.after_restart).push_back(it);
--- a/main/settings_snapshot.h
+++ b/main/settings_snapshot.h
@@ -93,7 +93,7 @@
 
   // Returns the keys of the settings that differ; both snapshots must come from
   // the same visit function.
-  std::vector<std::string> ChangedIn(const SettingsSnapshot& other) const;
+  std::vector<std::string> ChangedKeys(const SettingsSnapshot& other) const;
 
  private:
   struct Value {
--- a/main/store_daemon.cc
+++ b/main/store_daemon.cc
@@ -42,7 +42,7 @@
   options.self = settings.host;
   options.watch = settings.store.watch;
   options.gather = settings.store.gather;
-  options.start_patience = settings.store.start_patience;
+  options.initial_feed_timeout = settings.store.initial_feed_timeout;
   options.early_read = settings.store.early_read;
   if (settings.fleet.enabled) {
     options.address = settings.fleet.listen;
@@ -195,7 +195,7 @@
   if (!state.routes) {
     return;
   }
-  state_.SetSeat(state.seat);
+  state_.SetHostNumber(state.seat);
   state_.SetRouting(std::make_shared<RoutingTable>(
                         state.routes, MakeServices(state, settings_.regions)),
                     state.hosts > 0 ? state.hosts : settings_.store.hosts,
--- a/policy/admission_queue.cc
+++ b/policy/admission_queue.cc
@@ -90,7 +90,7 @@
     refused.push_back({offer.token, Refusal::kQueueFull});
     return;
   }
-  if (size() >= options_.most_waiting && !MakeRoomOfAll(offer, refused)) {
+  if (size() >= options_.max_waiting && !MakeRoomOfAll(offer, refused)) {
     refused.push_back({offer.token, Refusal::kQueueFull});
     return;
   }
@@ -115,11 +115,11 @@
   return true;
 }
 
-bool AdmissionQueue::IsOwed(Urgency urgency) const {
+bool AdmissionQueue::HasCredit(Urgency urgency) const {
   return ClassOf(urgency).owed >= 1;
 }
 
-void AdmissionQueue::Owe(Urgency urgency) {
+void AdmissionQueue::GrantCredit(Urgency urgency) {
   if (!ClassOf(urgency).queue.empty()) {
     ClassOf(urgency).owed = 1;
   }
@@ -129,7 +129,7 @@
   UrgencyOrder order;
   for (const bool owed : {true, false}) {
     for (const Urgency it : kUrgencies) {
-      if (Waiting(it) > 0 && IsOwed(it) == owed) {
+      if (Waiting(it) > 0 && HasCredit(it) == owed) {
         order.Append(it);
       }
     }
