--- a/policy/admission_queue.h
+++ b/policy/admission_queue.h
@@ -15,7 +15,7 @@
 
 struct AdmissionOptions {
   // Calls that may wait in all.
-  std::size_t most_waiting = 4096;
+  std::size_t max_waiting = 4096;
   // Part of the slot time that each urgency gets at least, while it waits.
   std::array<double, kUrgencyCount> floors = {0.0, 0.10, 0.05};
 };
@@ -53,7 +53,7 @@
   // The urgencies with waiting calls: those that are owed their floor first,
   // then the most urgent.
   UrgencyOrder Order() const;
-  bool IsOwed(Urgency urgency) const;
+  bool HasCredit(Urgency urgency) const;
   // The next call of an urgency; null where none waits.
   const WaitingCall* Head(Urgency urgency) const;
   // Takes it out for a dispatch; one must be waiting.
@@ -61,7 +61,7 @@
   // A call of this urgency went to an endpoint without waiting here.
   void OnDirectDispatch(Urgency urgency);
   // As long as the urgency waits it is owed the next dispatch.
-  void Owe(Urgency urgency);
+  void GrantCredit(Urgency urgency);
 
   // Refuses every call whose deadline leaves less than `least`.
   void Expire(TimePoint now,
--- a/policy/balancer.h
+++ b/policy/balancer.h
@@ -15,7 +15,7 @@
 #include "policy/endpoint_report.h"
 #include "policy/endpoint_signals.h"
 #include "policy/endpoint_status.h"
-#include "policy/fleet_seat.h"
+#include "policy/host_number.h"
 
 namespace damasktack {
 
@@ -31,7 +31,7 @@
   std::optional<EndpointSignals> signals = std::nullopt;
   // The answer went through a damasktack closer to the failure, which has
   // had its chance to send the call again.
-  bool retried_deeper = false;
+  bool retried_downstream = false;
   // Other endpoints have ended under this request, so that it may not be given
   // to one more.
   bool is_suspected = false;
@@ -65,7 +65,7 @@
 
   // This host's place among those hosts, by which it shares with them what an
   // endpoint bears.
-  virtual void SetSeat(const FleetSeat& /*seat*/) {}
+  virtual void SetHostNumber(const HostNumber& /*seat*/) {}
 
   // Takes a call in; `out` may hold its dispatch or rejection at once.
   virtual void Offer(const CallOffer& offer, TimePoint now, Decisions& out) = 0;
@@ -102,17 +102,17 @@
   virtual std::optional<double> RateLimit(EndpointIndex endpoint) const = 0;
   // Another host was told at `stated_at` of the endpoint's rate limit, or of
   // its end.
-  virtual void HearRateLimit(const EndpointProcess& endpoint,
-                             std::optional<double> rate_limit,
-                             TimePoint stated_at) = 0;
+  virtual void OnPeerRateLimit(const EndpointProcess& endpoint,
+                               std::optional<double> rate_limit,
+                               TimePoint stated_at) = 0;
   // Another host has seen the endpoint drain.
-  virtual void HearDrain(const EndpointId& id, TimePoint now) = 0;
+  virtual void OnPeerDrain(const EndpointId& id, TimePoint now) = 0;
   // Time passes: refuses what missed its deadline, sends what may go now.
   virtual void Tick(TimePoint now, Decisions& out) = 0;
   // The next endpoint worth a probe, if the budget allows one now.
   virtual std::optional<EndpointIndex> NextProbe(TimePoint now) = 0;
   // Whether NextProbe is to be asked also while no call waits.
-  virtual bool probes_while_quiet() const = 0;
+  virtual bool probes_while_idle() const = 0;
   // A probe that was sent brought no report.
   virtual void ProbeFailed(EndpointIndex endpoint,
                            SendResult result,
--- a/policy/baseline_pickers.cc
+++ b/policy/baseline_pickers.cc
@@ -58,7 +58,7 @@
       continue;
     }
     const EndpointCandidate it = view.At(n);
-    if (!it.has_room && !view.choice().below_own_part) {
+    if (!it.has_room && !view.choice().below_fair_share) {
       continue;
     }
     const auto rank = [](const EndpointCandidate& c) {
--- a/policy/call_offer.h
+++ b/policy/call_offer.h
@@ -19,7 +19,7 @@
   CustomerId customer;
   std::int64_t share = 1;
   Urgency urgency = Urgency::kNormal;
-  ShortageTreatment when_short = ShortageTreatment::kWait;
+  OverloadPolicy overload_policy = OverloadPolicy::kWait;
   // Calls of the customer that may wait here; 0 means "no bound".
   std::int64_t waiting_limit = 256;
   bool idempotent = false;
@@ -31,7 +31,7 @@
   // Where it may be worked on; anywhere if there is none.
   std::vector<RegionId> allowed_regions;
   // Sends of this call at most; 0 where the service's own bound holds alone.
-  int most_sends = 0;
+  int attempt_limit = 0;
   // How long the caller allowed the call to take when it arrived here.
   Duration asked{};
   // An answer later than this is worth little to the caller.
--- a/policy/candidate_view.cc
+++ b/policy/candidate_view.cc
@@ -24,7 +24,7 @@
   EndpointCandidate candidate;
   candidate.index = usable_[position];
   candidate.cost = WaitCost(load) + (record.other_zone ? choice_.zone_cost : 0);
-  candidate.has_room = load <= choice_.most_load;
+  candidate.has_room = load <= choice_.max_load;
   return candidate;
 }
 
--- a/policy/candidate_view.h
+++ b/policy/candidate_view.h
@@ -25,13 +25,13 @@
 class CandidateView {
  public:
   struct Choice {
-    double most_load = 1;
+    double max_load = 1;
     // The endpoint to leave out while there is another.
     std::optional<EndpointIndex> avoid;
     // Whether the host holds less than its own part of the service's slots,
     // and so may send although no endpoint seems to have room. Without this
     // a host whose reports stay high or frozen would never send again.
-    bool below_own_part = false;
+    bool below_fair_share = false;
     LoadPrior prior;
     // What the way to another zone adds to the cost.
     double zone_cost = 0;
--- a/policy/cold_allowance.h
+++ b/policy/cold_allowance.h
@@ -5,7 +5,7 @@
 
 #include "core/time.h"
 #include "policy/cold_basis.h"
-#include "policy/seat_turns.h"
+#include "policy/host_quota.h"
 #include "policy/shared_rate.h"
 
 namespace damasktack {
@@ -21,7 +21,7 @@
   explicit ColdAllowance(std::uint64_t seed = 0) : rate_(seed) {}
 
   // The newest word of how long the endpoint stays cold, and whose it is.
-  void OnCold(ColdWord word, TimePoint until, TimePoint now) {
+  void OnCold(ColdSource word, TimePoint until, TimePoint now) {
     if (until != cold_until_) {
       word_ = word;
       told_at_ = now;
@@ -30,12 +30,12 @@
   }
   bool IsCold(TimePoint now) const { return now < cold_until_; }
   TimePoint cold_until() const { return cold_until_; }
-  ColdWord word() const { return word_; }
+  ColdSource word() const { return word_; }
   TimePoint told_at() const { return told_at_; }
 
   // Where the host has a seat: whether it has a turn at the endpoint.
-  SeatTurns& turns() { return turns_; }
-  bool HasTurn(TimePoint now) const { return turns_.HasOne(now); }
+  HostQuota& turns() { return turns_; }
+  bool HasHostQuota(TimePoint now) const { return turns_.IsAvailable(now); }
   // Where it has none: whether its part of the rate, `share` calls a second,
   // lets a call through.
   bool Allows(double share, TimePoint now) const {
@@ -48,9 +48,9 @@
 
  private:
   TimePoint cold_until_;
-  ColdWord word_ = ColdWord::kList;
+  ColdSource word_ = ColdSource::kList;
   TimePoint told_at_;
-  SeatTurns turns_;
+  HostQuota turns_;
   SharedRate rate_;
 };
 
--- a/policy/cold_basis.cc
+++ b/policy/cold_basis.cc
@@ -2,13 +2,13 @@
 
 namespace damasktack {
 
-std::string_view ToString(ColdWord word) {
+std::string_view ToString(ColdSource word) {
   switch (word) {
-    case ColdWord::kList:
+    case ColdSource::kList:
       return "list";
-    case ColdWord::kProbe:
+    case ColdSource::kProbe:
       return "probe";
-    case ColdWord::kDrainEnd:
+    case ColdSource::kDrainEnd:
       return "drain-end";
   }
   return "unknown";
--- a/policy/cold_basis.h
+++ b/policy/cold_basis.h
@@ -5,12 +5,12 @@
 #include <string_view>
 
 #include "core/time.h"
-#include "policy/fleet_seat.h"
+#include "policy/host_number.h"
 
 namespace damasktack {
 
 // Who says that an endpoint is cold.
-enum class ColdWord : std::uint8_t {
+enum class ColdSource : std::uint8_t {
   // Its entry in the published list.
   kList,
   // The endpoint itself, on the answer to a probe.
@@ -18,13 +18,13 @@
   // Nobody yet: the drain of its zone has ended.
   kDrainEnd,
 };
-std::string_view ToString(ColdWord word);
+std::string_view ToString(ColdSource word);
 
 // What a host believed of a cold endpoint when it placed a call there.
 struct ColdBasis {
-  ColdWord word = ColdWord::kList;
+  ColdSource word = ColdSource::kList;
   // How long ago that was said, and how much longer the endpoint stays cold.
-  Duration word_age{};
+  Duration source_age{};
   Duration left{};
   // Calls there and the slots for them, and how long ago the report that says
   // so was asked for.
@@ -32,7 +32,7 @@
   double slots = 0;
   Duration asked_age{};
   // This host's seat, and the hosts that share the endpoint as it believes.
-  FleetSeat seat;
+  HostNumber seat;
   double hosts = 0;
 
   bool operator==(const ColdBasis&) const = default;
--- a/policy/cold_endpoints.cc
+++ b/policy/cold_endpoints.cc
@@ -28,22 +28,22 @@
   fleet_.Set(hosts, service.endpoints.size(), now);
   if (rate_ != service.cold_rate) {
     rate_ = service.cold_rate;
-    DrawAllTurns();
+    AssignQuotas();
   }
 }
 
-void ColdEndpoints::SetSeat(const FleetSeat& seat) {
+void ColdEndpoints::SetHostNumber(const HostNumber& seat) {
   seat_ = seat;
-  DrawAllTurns();
+  AssignQuotas();
 }
 
-void ColdEndpoints::DrawAllTurns() {
+void ColdEndpoints::AssignQuotas() {
   for (EndpointIndex n = 0; n < ids_.size(); ++n) {
-    allowances_[n].turns().Draw(ids_[n], Turns(), seat_);
+    allowances_[n].turns().Draw(ids_[n], TotalQuota(), seat_);
   }
 }
 
-int ColdEndpoints::Turns() const {
+int ColdEndpoints::TotalQuota() const {
   if (rate_ <= 0) {
     return 0;
   }
@@ -64,14 +64,14 @@
     const std::string names = host_.text() + spec.id.text();
     allowance = ColdAllowance(XXH3_64bits(names.data(), names.size()));
     ids_[index] = spec.id;
-    allowance.turns().Draw(spec.id, Turns(), seat_);
+    allowance.turns().Draw(spec.id, TotalQuota(), seat_);
   }
-  allowance.OnCold(ColdWord::kList,
+  allowance.OnCold(ColdSource::kList,
                    std::max(allowance.cold_until(), spec.cold_until), now);
   if (before != nullptr && before->zone_drained && !spec.zone_drained) {
     const TimePoint until =
         std::max<TimePoint>(allowance.cold_until(), now + cold_time_);
-    allowance.OnCold(ColdWord::kDrainEnd, until, now);
+    allowance.OnCold(ColdSource::kDrainEnd, until, now);
   }
 }
 
@@ -81,15 +81,16 @@
 
 bool ColdEndpoints::IsAllowed(EndpointIndex index, TimePoint now) const {
   const ColdAllowance& it = allowances_[index];
-  return GoesByTurns() ? it.HasTurn(now) : it.Allows(Share(now), now);
+  return UsesHostQuota() ? it.HasHostQuota(now) : it.Allows(Share(now), now);
 }
 
-bool ColdEndpoints::MayTakeOne(const ColdLook& look, TimePoint now) const {
+bool ColdEndpoints::CanAcceptCall(const ColdObservation& look,
+                                  TimePoint now) const {
   if (!IsCold(look.index, now)) {
     return true;
   }
   const bool has_room =
-      GoesByTurns() ? look.calls + 1 <= look.slots : look.calls < kIdleCalls;
+      UsesHostQuota() ? look.calls + 1 <= look.slots : look.calls < kIdleCalls;
   return look.is_known && has_room && IsAllowed(look.index, now);
 }
 
@@ -104,7 +105,7 @@
   if (asked_at < allowance.told_at()) {
     until = std::max(until, allowance.cold_until());
   }
-  allowance.OnCold(ColdWord::kProbe, until, now);
+  allowance.OnCold(ColdSource::kProbe, until, now);
 }
 
 std::optional<ColdBasis> ColdEndpoints::BasisOf(EndpointIndex index,
@@ -115,14 +116,14 @@
   const ColdAllowance& it = allowances_[index];
   ColdBasis basis;
   basis.word = it.word();
-  basis.word_age = now - it.told_at();
+  basis.source_age = now - it.told_at();
   basis.left = it.cold_until() - now;
   basis.seat = seat_;
   basis.hosts = fleet_.Count(now);
   return basis;
 }
 
-bool ColdEndpoints::IsWorthALook(EndpointIndex index, TimePoint now) const {
+bool ColdEndpoints::IsProbeUseful(EndpointIndex index, TimePoint now) const {
   return !IsCold(index, now) || IsAllowed(index, now);
 }
 
--- a/policy/cold_endpoints.h
+++ b/policy/cold_endpoints.h
@@ -19,7 +19,7 @@
 };
 
 // An endpoint as a decision sees it.
-struct ColdLook {
+struct ColdObservation {
   EndpointIndex index = 0;
   // Calls there and the slots for them, by a report that is fresh.
   bool is_known = false;
@@ -47,7 +47,7 @@
                   std::int64_t hosts,
                   TimePoint now);
   // This host's place among the hosts from now on.
-  void SetSeat(const FleetSeat& seat);
+  void SetHostNumber(const HostNumber& seat);
   // What the list says of an endpoint; `before` is what it said last, null
   // where the index is a new process's.
   void OnListed(EndpointIndex index,
@@ -73,18 +73,18 @@
     return rate_ > 0 && IsSlow(index, now);
   }
   // Whether a call may go there.
-  bool MayTakeOne(const ColdLook& look, TimePoint now) const;
+  bool CanAcceptCall(const ColdObservation& look, TimePoint now) const;
   // What a call that goes there now rests on; null where it bears any number.
   std::optional<ColdBasis> BasisOf(EndpointIndex index, TimePoint now) const;
   // Whether a report could show that a call may go there.
-  bool IsWorthALook(EndpointIndex index, TimePoint now) const;
+  bool IsProbeUseful(EndpointIndex index, TimePoint now) const;
 
  private:
   // The turns at each endpoint, of all hosts; none where it takes too few calls
   // to be shared out in this way.
-  int Turns() const;
-  bool GoesByTurns() const { return seat_.IsKnown() && Turns() > 0; }
-  void DrawAllTurns();
+  int TotalQuota() const;
+  bool UsesHostQuota() const { return seat_.IsKnown() && TotalQuota() > 0; }
+  void AssignQuotas();
   // Whether this host may send a call there, whatever the endpoint reports.
   bool IsAllowed(EndpointIndex index, TimePoint now) const;
   // This host's part of the rate, in calls a second.
@@ -94,7 +94,7 @@
   const ColdBoundOptions options_;
   std::vector<ColdAllowance> allowances_;
   std::vector<EndpointId> ids_;
-  FleetSeat seat_;
+  HostNumber seat_;
   Duration cold_time_{};
   double rate_ = 0;
   FleetSize fleet_;
--- a/policy/cold_pace.cc
+++ b/policy/cold_slowdown.cc
@@ -1,4 +1,4 @@
-#include "policy/cold_pace.h"
+#include "policy/cold_slowdown.h"
 
 #include <algorithm>
 
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void ColdPace::OnExecution(Duration took, Duration usual) {
+void ColdSlowdown::OnExecution(Duration took, Duration usual) {
   if (usual <= Duration::zero()) {
     return;
   }
--- a/policy/cold_pace.h
+++ b/policy/cold_slowdown.h
@@ -1,5 +1,5 @@
-#ifndef POLICY_COLD_PACE_H_
-#define POLICY_COLD_PACE_H_
+#ifndef POLICY_COLD_SLOWDOWN_H_
+#define POLICY_COLD_SLOWDOWN_H_
 
 #include "core/time.h"
 
@@ -10,7 +10,7 @@
 //
 // The load that it answers: hundreds of endpoints join at once, free and slow,
 // and each host sends calls there that others would have ended on time.
-class ColdPace {
+class ColdSlowdown {
  public:
   double value() const { return value_; }
 
@@ -24,4 +24,4 @@
 
 }  // namespace damasktack
 
-#endif  // POLICY_COLD_PACE_H_
+#endif  // POLICY_COLD_SLOWDOWN_H_
--- a/policy/crash_ledger.cc
+++ b/policy/crash_tracker.cc
@@ -1,4 +1,4 @@
-#include "policy/crash_ledger.h"
+#include "policy/crash_tracker.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,25 +17,25 @@
 
 }  // namespace
 
-CrashLedger::CrashLedger(CrashLedgerOptions options, std::uint64_t seed)
+CrashTracker::CrashTracker(CrashTrackerOptions options, std::uint64_t seed)
     : options_(options) {
   Random random(seed);
   stretch_ = 1 + 0.5 * UniformBelow(random, kStretchSteps) / kStretchSteps;
 }
 
-bool CrashLedger::Crash::Has(RequestFingerprint request) const {
+bool CrashTracker::Crash::Has(RequestFingerprint request) const {
   return std::ranges::find(suspects, request) != suspects.end();
 }
 
-void CrashLedger::AddSuspect(Crash& crash, RequestFingerprint request) {
-  const bool has_room = crash.suspects.size() < options_.most_suspects;
+void CrashTracker::AddSuspect(Crash& crash, RequestFingerprint request) {
+  const bool has_room = crash.suspects.size() < options_.max_suspects;
   if (has_room && !crash.Has(request)) {
     crash.suspects.push_back(request);
     ++mentions_[request];
   }
 }
 
-bool CrashLedger::RemoveSuspect(Crash& crash, RequestFingerprint request) {
+bool CrashTracker::RemoveSuspect(Crash& crash, RequestFingerprint request) {
   if (std::erase(crash.suspects, request) == 0) {
     return false;
   }
@@ -47,7 +47,7 @@
 }
 
 template <typename Predicate>
-void CrashLedger::RemoveCrashes(Predicate is_removed) {
+void CrashTracker::RemoveCrashes(Predicate is_removed) {
   for (Crash& crash : crashes_) {
     while (is_removed(crash) && !crash.suspects.empty()) {
       RemoveSuspect(crash, crash.suspects.back());
@@ -56,8 +56,8 @@
   std::erase_if(crashes_, is_removed);
 }
 
-CrashLedger::Crash* CrashLedger::Find(const EndpointProcess& endpoint,
-                                      TimePoint at) {
+CrashTracker::Crash* CrashTracker::Find(const EndpointProcess& endpoint,
+                                        TimePoint at) {
   const auto it = std::ranges::find_if(crashes_, [&](const Crash& crash) {
     return crash.endpoint == endpoint &&
            std::chrono::abs(crash.at - at) < options_.same_crash;
@@ -65,19 +65,19 @@
   return it == crashes_.end() ? nullptr : &*it;
 }
 
-std::size_t CrashLedger::CountUnconfirmed() const {
+std::size_t CrashTracker::CountUnconfirmed() const {
   return static_cast<std::size_t>(std::ranges::count_if(
       crashes_, [](const Crash& it) { return !it.is_confirmed; }));
 }
 
-CrashLedger::Crash* CrashLedger::FindOrAdd(const CrashSighting& sighting,
-                                           bool is_confirmed) {
+CrashTracker::Crash* CrashTracker::FindOrAdd(const CrashObservation& sighting,
+                                             bool is_confirmed) {
   Crash* crash = Find(sighting.endpoint, sighting.at);
   if (crash == nullptr) {
-    if (!is_confirmed && CountUnconfirmed() >= options_.most_unconfirmed) {
+    if (!is_confirmed && CountUnconfirmed() >= options_.max_unconfirmed) {
       return nullptr;
     }
-    if (crashes_.size() >= options_.most_crashes) {
+    if (crashes_.size() >= options_.max_crashes) {
       const Crash* oldest = &crashes_.front();
       RemoveCrashes([&](const Crash& it) { return &it == oldest; });
     }
@@ -88,7 +88,7 @@
   return crash;
 }
 
-SuspectStep CrashLedger::Suspect(const CrashSighting& sighting) {
+SuspectStep CrashTracker::Suspect(const CrashObservation& sighting) {
   Forget(sighting.at);
   const Crash* known = Find(sighting.endpoint, sighting.at);
   if (known == nullptr) {
@@ -100,9 +100,9 @@
   return is_news ? SuspectStep::kShare : SuspectStep::kNone;
 }
 
-std::vector<CrashSighting> CrashLedger::Confirm(
+std::vector<CrashObservation> CrashTracker::Confirm(
     const EndpointProcess& endpoint) {
-  std::vector<CrashSighting> confirmed;
+  std::vector<CrashObservation> confirmed;
   for (Crash& crash : crashes_) {
     if (crash.is_confirmed || crash.endpoint != endpoint) {
       continue;
@@ -115,19 +115,19 @@
   return confirmed;
 }
 
-void CrashLedger::Dismiss(const EndpointProcess& endpoint) {
+void CrashTracker::Dismiss(const EndpointProcess& endpoint) {
   RemoveCrashes([&](const Crash& it) {
     return !it.is_confirmed && it.endpoint == endpoint;
   });
 }
 
-bool CrashLedger::IsClearedSince(const CrashSighting& sighting) const {
+bool CrashTracker::IsClearedSince(const CrashObservation& sighting) const {
   return std::ranges::any_of(cleared_, [&](const ClearedRequest& it) {
     return it.request == sighting.request && it.at >= sighting.at;
   });
 }
 
-bool CrashLedger::Add(const CrashSighting& sighting, TimePoint now) {
+bool CrashTracker::Add(const CrashObservation& sighting, TimePoint now) {
   Forget(now);
   const bool is_old = now - sighting.at >= options_.memory;
   if (is_old || IsClearedSince(sighting)) {
@@ -142,7 +142,7 @@
   return crash->Has(sighting.request);
 }
 
-std::size_t CrashLedger::Clear(const ClearedRequest& cleared, TimePoint now) {
+std::size_t CrashTracker::Clear(const ClearedRequest& cleared, TimePoint now) {
   Forget(now);
   if (!IsSuspect(cleared.request)) {
     return 0;
@@ -166,7 +166,7 @@
   return confirmed;
 }
 
-CrashLedger::Record CrashLedger::RecordOf(RequestFingerprint request) const {
+CrashTracker::Record CrashTracker::RecordOf(RequestFingerprint request) const {
   Record record;
   for (const Crash& it : crashes_) {
     if (it.is_confirmed && it.Has(request)) {
@@ -177,12 +177,12 @@
   return record;
 }
 
-std::size_t CrashLedger::CountCrashes(RequestFingerprint request) const {
+std::size_t CrashTracker::CountCrashes(RequestFingerprint request) const {
   return RecordOf(request).crashes;
 }
 
-std::size_t CrashLedger::CountUnexplained(RequestFingerprint request,
-                                          std::size_t crashes) const {
+std::size_t CrashTracker::CountUnexplained(RequestFingerprint request,
+                                           std::size_t crashes) const {
   const auto explains = [&](RequestFingerprint other) {
     const std::size_t theirs = CountCrashes(other);
     return theirs >= options_.crashes_to_quarantine && theirs > crashes;
@@ -197,13 +197,13 @@
   return count;
 }
 
-bool CrashLedger::IsCulprit(RequestFingerprint request) const {
+bool CrashTracker::IsCulprit(RequestFingerprint request) const {
   const std::size_t crashes = CountCrashes(request);
   return crashes >= options_.crashes_to_quarantine &&
          CountUnexplained(request, crashes) >= options_.crashes_to_quarantine;
 }
 
-Duration CrashLedger::QuarantineAfter(std::size_t crashes) const {
+Duration CrashTracker::QuarantineAfter(std::size_t crashes) const {
   Duration time = options_.quarantine;
   for (std::size_t n = options_.crashes_to_quarantine;
        n < crashes && time < options_.longest_quarantine; ++n) {
@@ -212,7 +212,8 @@
   return Scaled(std::min(time, options_.longest_quarantine), stretch_);
 }
 
-RequestJudgement CrashLedger::Judge(RequestFingerprint request, TimePoint now) {
+RequestJudgement CrashTracker::Judge(RequestFingerprint request,
+                                     TimePoint now) {
   Forget(now);
   if (!IsSuspect(request)) {
     return {};
@@ -229,16 +230,16 @@
   if (trial != trials_.end() && now < trial->second + kTrialTime) {
     return {Suspicion::kQuarantined, trial->second + kTrialTime - now};
   }
-  if (trials_.size() >= options_.most_crashes) {
+  if (trials_.size() >= options_.max_crashes) {
     trials_.clear();
   }
   trials_[request] = now;
   return {Suspicion::kSuspected, {}, true};
 }
 
-std::vector<CrashSighting> CrashLedger::SightingsOf(
+std::vector<CrashObservation> CrashTracker::ObservationsOf(
     RequestFingerprint request) const {
-  std::vector<CrashSighting> sightings;
+  std::vector<CrashObservation> sightings;
   for (const Crash& it : crashes_) {
     if (it.is_confirmed && it.Has(request)) {
       sightings.push_back({request, it.endpoint, it.at});
@@ -247,7 +248,8 @@
   return sightings;
 }
 
-std::vector<RequestFingerprint> CrashLedger::Suspects(std::size_t least) const {
+std::vector<RequestFingerprint> CrashTracker::Suspects(
+    std::size_t least) const {
   std::unordered_map<RequestFingerprint, std::size_t> counts;
   for (const Crash& crash : crashes_) {
     for (const RequestFingerprint it : crash.suspects) {
@@ -266,7 +268,7 @@
   return suspects;
 }
 
-void CrashLedger::Forget(TimePoint now) {
+void CrashTracker::Forget(TimePoint now) {
   const auto is_old = [&](const Crash& it) {
     return now - it.at >= options_.memory;
   };
--- a/policy/crash_ledger.h
+++ b/policy/crash_tracker.h
@@ -1,5 +1,5 @@
-#ifndef POLICY_CRASH_LEDGER_H_
-#define POLICY_CRASH_LEDGER_H_
+#ifndef POLICY_CRASH_TRACKER_H_
+#define POLICY_CRASH_TRACKER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -15,13 +15,13 @@
 namespace damasktack {
 
 // An endpoint's process ended while it worked on the request.
-struct CrashSighting {
+struct CrashObservation {
   RequestFingerprint request;
   EndpointProcess endpoint;
   // By this host's clock.
   TimePoint at;
 
-  bool operator==(const CrashSighting&) const = default;
+  bool operator==(const CrashObservation&) const = default;
 };
 
 // The request was answered by an endpoint: it does not crash what runs it.
@@ -33,7 +33,7 @@
   bool operator==(const ClearedRequest&) const = default;
 };
 
-struct CrashLedgerOptions {
+struct CrashTrackerOptions {
   // Endpoints that have to end under a request before it is quarantined.
   std::size_t crashes_to_quarantine = 3;
   // From the last crash; doubled with each further one.
@@ -45,10 +45,10 @@
   // Evidence is forgotten after this.
   Duration memory = std::chrono::hours(2);
   // Crashes that are remembered, and those of them that wait for a check.
-  std::size_t most_crashes = 256;
-  std::size_t most_unconfirmed = 64;
+  std::size_t max_crashes = 256;
+  std::size_t max_unconfirmed = 64;
   // Requests remembered for one crash: those that its endpoint worked on.
-  std::size_t most_suspects = 64;
+  std::size_t max_suspects = 64;
 };
 
 // What a broken call asks of the ledger's owner.
@@ -86,18 +86,18 @@
 // others.
 //
 // Pure; memory is bounded by the options.
-class CrashLedger {
+class CrashTracker {
  public:
-  CrashLedger(CrashLedgerOptions options, std::uint64_t seed);
+  CrashTracker(CrashTrackerOptions options, std::uint64_t seed);
 
   // A call to the endpoint broke.
-  SuspectStep Suspect(const CrashSighting& sighting);
+  SuspectStep Suspect(const CrashObservation& sighting);
   // Returns the sightings that this confirms.
-  std::vector<CrashSighting> Confirm(const EndpointProcess& endpoint);
+  std::vector<CrashObservation> Confirm(const EndpointProcess& endpoint);
   void Dismiss(const EndpointProcess& endpoint);
 
   // A sighting that another host has confirmed. False where it is no news.
-  bool Add(const CrashSighting& sighting, TimePoint now);
+  bool Add(const CrashObservation& sighting, TimePoint now);
   // Returns how many confirmed crashes spoke against the request.
   std::size_t Clear(const ClearedRequest& cleared, TimePoint now);
 
@@ -109,7 +109,8 @@
   std::size_t CountCrashes(RequestFingerprint request) const;
   // Whether enough crashes speak against the request and nobody else.
   bool IsCulprit(RequestFingerprint request) const;
-  std::vector<CrashSighting> SightingsOf(RequestFingerprint request) const;
+  std::vector<CrashObservation> ObservationsOf(
+      RequestFingerprint request) const;
   // Requests with `least` confirmed crashes or more, those with most first.
   std::vector<RequestFingerprint> Suspects(std::size_t least) const;
 
@@ -144,17 +145,17 @@
 
   Crash* Find(const EndpointProcess& endpoint, TimePoint at);
   // Null where there is no room.
-  Crash* FindOrAdd(const CrashSighting& sighting, bool is_confirmed);
+  Crash* FindOrAdd(const CrashObservation& sighting, bool is_confirmed);
   Record RecordOf(RequestFingerprint request) const;
   // Crashes that no other request explains better.
   std::size_t CountUnexplained(RequestFingerprint request,
                                std::size_t crashes) const;
   Duration QuarantineAfter(std::size_t crashes) const;
   std::size_t CountUnconfirmed() const;
-  bool IsClearedSince(const CrashSighting& sighting) const;
+  bool IsClearedSince(const CrashObservation& sighting) const;
   void Forget(TimePoint now);
 
-  const CrashLedgerOptions options_;
+  const CrashTrackerOptions options_;
   // Between 1 and 1.5: hosts end a quarantine at different times, so that the
   // first trial is over before the next host tries.
   double stretch_ = 1;
@@ -169,4 +170,4 @@
 
 }  // namespace damasktack
 
-#endif  // POLICY_CRASH_LEDGER_H_
+#endif  // POLICY_CRASH_TRACKER_H_
--- a/policy/ejection.cc
+++ b/policy/ejection.cc
@@ -33,7 +33,7 @@
   return {};
 }
 
-std::size_t MostEjected(std::size_t live) {
+std::size_t MaxEjected(std::size_t live) {
   return live / kEndpointsForOneEjected;
 }
 
--- a/policy/ejection.h
+++ b/policy/ejection.h
@@ -18,7 +18,7 @@
 // How many of `live` endpoints may be out at once. The bound keeps the
 // service from being emptied by a fault in this host's own network, or by
 // callers whose requests fail everywhere but not at the same moment.
-std::size_t MostEjected(std::size_t live);
+std::size_t MaxEjected(std::size_t live);
 
 // How long an endpoint stays out that was ejected `ejections` times running.
 Duration EjectionTime(std::int32_t ejections);
--- a/policy/endpoint_restraints.cc
+++ b/policy/endpoint_limits.cc
@@ -1,4 +1,4 @@
-#include "policy/endpoint_restraints.h"
+#include "policy/endpoint_limits.h"
 
 #include <xxhash.h>
 
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-void EndpointRestraints::OnAdded(EndpointIndex index, const EndpointId& id) {
+void EndpointLimits::OnAdded(EndpointIndex index, const EndpointId& id) {
   restraints_.resize(std::max<std::size_t>(restraints_.size(), index + 1));
   const std::string names = host_.text() + id.text();
   restraints_[index] = Restraint();
@@ -30,10 +30,10 @@
 // An answer without a limit takes it back only where its request went out after
 // the limit was stated: of answers that are under way together either may be
 // read first.
-void EndpointRestraints::OnAnswer(EndpointIndex index,
-                                  const EndpointSignals& signals,
-                                  TimePoint asked_at,
-                                  TimePoint now) {
+void EndpointLimits::OnAnswer(EndpointIndex index,
+                              const EndpointSignals& signals,
+                              TimePoint asked_at,
+                              TimePoint now) {
   Restraint& restraint = restraints_[index];
   const bool is_taken_back = restraint.rate_limit && !signals.rate_limit &&
                              asked_at >= restraint.limit_stated_at;
@@ -44,9 +44,9 @@
   OnProbeAnswer(index, signals, now);
 }
 
-void EndpointRestraints::OnProbeAnswer(EndpointIndex index,
-                                       const EndpointSignals& signals,
-                                       TimePoint now) {
+void EndpointLimits::OnProbeAnswer(EndpointIndex index,
+                                   const EndpointSignals& signals,
+                                   TimePoint now) {
   if (signals.rest) {
     TimePoint& until = restraints_[index].rest_until;
     until = std::max<TimePoint>(until, now + *signals.rest);
@@ -57,7 +57,7 @@
   }
 }
 
-void EndpointRestraints::OnHeard(EndpointIndex index,
+void EndpointLimits::OnPeerLimit(EndpointIndex index,
                                  std::optional<double> rate_limit,
                                  TimePoint stated_at) {
   Restraint& restraint = restraints_[index];
@@ -67,11 +67,11 @@
   }
 }
 
-double EndpointRestraints::Share(double rate_limit, TimePoint now) const {
+double EndpointLimits::Share(double rate_limit, TimePoint now) const {
   return std::max(rate_limit * kSharedOut, kLeastRate) / fleet_.Count(now);
 }
 
-bool EndpointRestraints::MayTakeOne(EndpointIndex index, TimePoint now) const {
+bool EndpointLimits::CanAcceptCall(EndpointIndex index, TimePoint now) const {
   const Restraint& it = restraints_[index];
   if (now < it.rest_until) {
     return false;
@@ -79,7 +79,7 @@
   return !it.rate_limit || it.schedule.Allows(Share(*it.rate_limit, now), now);
 }
 
-TimePoint EndpointRestraints::OpensAt(EndpointIndex index,
+TimePoint EndpointLimits::AvailableAt(EndpointIndex index,
                                       TimePoint now,
                                       TimePoint latest) const {
   const Restraint& it = restraints_[index];
@@ -90,13 +90,13 @@
   return it.schedule.NextAllowed(Share(*it.rate_limit, now), rested, latest);
 }
 
-std::optional<TimePoint> EndpointRestraints::FirstOpening(
+std::optional<TimePoint> EndpointLimits::FirstAvailableAt(
     std::span<const EndpointIndex> endpoints,
     TimePoint now,
     TimePoint latest) const {
   std::optional<TimePoint> first;
   for (const EndpointIndex it : endpoints) {
-    first = OpensAt(it, now, first.value_or(latest));
+    first = AvailableAt(it, now, first.value_or(latest));
     if (*first <= now) {
       break;
     }
--- a/policy/endpoint_restraints.h
+++ b/policy/endpoint_limits.h
@@ -1,5 +1,5 @@
-#ifndef POLICY_ENDPOINT_RESTRAINTS_H_
-#define POLICY_ENDPOINT_RESTRAINTS_H_
+#ifndef POLICY_ENDPOINT_LIMITS_H_
+#define POLICY_ENDPOINT_LIMITS_H_
 
 #include <optional>
 #include <span>
@@ -21,9 +21,9 @@
 // from all hosts together and says so in its answers, while it looks as free as
 // any other. Each host keeps to its part, by the size of the fleet. One that
 // refuses a request may ask its host for rest, and gets nothing meanwhile.
-class EndpointRestraints {
+class EndpointLimits {
  public:
-  explicit EndpointRestraints(const HostId& host) : host_(host) {}
+  explicit EndpointLimits(const HostId& host) : host_(host) {}
 
   // `hosts` is the number of entry hosts as this one believes.
   void SetService(std::size_t endpoints, std::int64_t hosts, TimePoint now) {
@@ -41,22 +41,24 @@
                      const EndpointSignals& signals,
                      TimePoint now);
   // Another host was told of the limit, or of its end, at `stated_at`.
-  void OnHeard(EndpointIndex index,
-               std::optional<double> rate_limit,
-               TimePoint stated_at);
+  void OnPeerLimit(EndpointIndex index,
+                   std::optional<double> rate_limit,
+                   TimePoint stated_at);
   void OnSend(EndpointIndex index, TimePoint now) {
     restraints_[index].schedule.OnSend(now);
   }
 
-  bool MayTakeOne(EndpointIndex index, TimePoint now) const;
+  bool CanAcceptCall(EndpointIndex index, TimePoint now) const;
   // Whether it wants neither calls nor probes now.
-  bool IsResting(EndpointIndex index, TimePoint now) const {
+  bool IsPaused(EndpointIndex index, TimePoint now) const {
     return now < restraints_[index].rest_until;
   }
-  // From when on MayTakeOne holds; `latest` where not before.
-  TimePoint OpensAt(EndpointIndex index, TimePoint now, TimePoint latest) const;
-  // The earliest OpensAt of the endpoints; null without any.
-  std::optional<TimePoint> FirstOpening(
+  // From when on CanAcceptCall holds; `latest` where not before.
+  TimePoint AvailableAt(EndpointIndex index,
+                        TimePoint now,
+                        TimePoint latest) const;
+  // The earliest AvailableAt of the endpoints; null without any.
+  std::optional<TimePoint> FirstAvailableAt(
       std::span<const EndpointIndex> endpoints,
       TimePoint now,
       TimePoint latest) const;
@@ -84,4 +86,4 @@
 
 }  // namespace damasktack
 
-#endif  // POLICY_ENDPOINT_RESTRAINTS_H_
+#endif  // POLICY_ENDPOINT_LIMITS_H_
--- a/policy/endpoint_preference.cc
+++ b/policy/endpoint_preference.cc
@@ -39,7 +39,7 @@
 
 double EndpointPreference::FurtherCost(std::size_t groups) const {
   return options_.further_group *
-         static_cast<double>(std::min(groups, options_.most_groups));
+         static_cast<double>(std::min(groups, options_.max_groups));
 }
 
 }  // namespace damasktack
--- a/policy/endpoint_preference.h
+++ b/policy/endpoint_preference.h
@@ -18,9 +18,9 @@
   // below what a slow or a full endpoint costs.
   // An endpoint of the host's zone that is not of its first group.
   double later_group = 0.08;
-  // Each group after the second, up to `most_groups` of them.
+  // Each group after the second, up to `max_groups` of them.
   double further_group = 0.03;
-  std::size_t most_groups = 3;
+  std::size_t max_groups = 3;
   // Another zone: crossing costs bytes that are billed. Above all groups of the
   // own zone.
   double other_zone = 0.6;
--- a/policy/endpoint_record.h
+++ b/policy/endpoint_record.h
@@ -42,7 +42,7 @@
   TimePoint drain_reported_at;
 
   // It said that it leaves; nothing takes that back.
-  bool said_leaving = false;
+  bool announced_leaving = false;
 
   bool probe_pending = false;
   TimePoint probe_sent_at;
--- a/policy/endpoint_roster.cc
+++ b/policy/endpoint_roster.cc
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-EndpointIndex EndpointRoster::TakePlace() {
+EndpointIndex EndpointRoster::AllocateIndex() {
   const auto free = std::ranges::find_if(gone_, [&](EndpointIndex it) {
     const EndpointRecord& record = records_[it];
     return record.estimate.own_in_flight() == 0 && !record.probe_pending;
@@ -43,7 +43,7 @@
 }
 
 EndpointIndex EndpointRoster::Add(bool taken_as_warm, TimePoint now) {
-  const EndpointIndex index = TakePlace();
+  const EndpointIndex index = AllocateIndex();
   records_[index].state_since = now;
   if (taken_as_warm) {
     Follow(index, EndpointEvent::kServes, "listed", now);
@@ -58,11 +58,12 @@
                               TimePoint now) {
   EndpointRecord& record = records_[index];
   const bool was_leaving = record.listed_as_leaving;
-  record.listed_as_leaving = !spec.MayTakeCalls();
+  record.listed_as_leaving = !spec.AcceptsNewCalls();
   if (record.listed_as_leaving) {
     Follow(index, EndpointEvent::kDrains,
            spec.zone_drained ? "zone drained" : "list", now);
-  } else if (was_leaving && !record.drain_reported && !record.said_leaving) {
+  } else if (was_leaving && !record.drain_reported &&
+             !record.announced_leaving) {
     Follow(index, EndpointEvent::kServes, "list", now);
   }
   KeepCeiling(now);
@@ -87,7 +88,7 @@
   }
   const bool is_held =
       record.drain_reported && now - record.drain_reported_at < kDrainHolds;
-  if (is_held || record.said_leaving) {
+  if (is_held || record.announced_leaving) {
     return;
   }
   record.drain_reported = false;
@@ -99,7 +100,7 @@
 }
 
 void EndpointRoster::OnLeaving(EndpointIndex index, TimePoint now) {
-  if (std::exchange(records_[index].said_leaving, true)) {
+  if (std::exchange(records_[index].announced_leaving, true)) {
     return;
   }
   Follow(index, EndpointEvent::kDrains, "said that it leaves", now);
@@ -134,8 +135,8 @@
   // An endpoint that sends no reports shows by an answer that it serves. Not
   // one that leaves: the answers to calls that were under way when it began to
   // would bring it new ones until it stops.
-  const bool leaves =
-      record.listed_as_leaving || record.drain_reported || record.said_leaving;
+  const bool leaves = record.listed_as_leaving || record.drain_reported ||
+                      record.announced_leaving;
   if (result == SendResult::kAnswered && !record.estimate.has_report() &&
       !leaves) {
     Follow(index, EndpointEvent::kServes, "answer", now);
@@ -169,7 +170,7 @@
   }
   const std::size_t out =
       CountIn(EndpointState::kEjected) + CountIn(EndpointState::kTrial);
-  if (out < MostEjected(CountLive())) {
+  if (out < MaxEjected(CountLive())) {
     Eject(index, reason, now);
   }
 }
@@ -233,7 +234,7 @@
 // Endpoints that leave lower the ceiling; those that have been out longest
 // go on trial then.
 void EndpointRoster::KeepCeiling(TimePoint now) {
-  const std::size_t most = MostEjected(CountLive());
+  const std::size_t most = MaxEjected(CountLive());
   while (CountIn(EndpointState::kEjected) > most) {
     const auto longest =
         std::ranges::min_element(records_, {}, [](const EndpointRecord& it) {
--- a/policy/endpoint_roster.h
+++ b/policy/endpoint_roster.h
@@ -86,7 +86,7 @@
   void Move(EndpointIndex index, EndpointState to);
   // The lowest place of one that is gone and that nothing can refer to any
   // more, else a new one.
-  EndpointIndex TakePlace();
+  EndpointIndex AllocateIndex();
   void RecountIfDue() const;
 
   std::vector<EndpointRecord> records_;
--- a/policy/endpoint_table.cc
+++ b/policy/endpoint_table.cc
@@ -5,7 +5,7 @@
 #include <iterator>
 #include <utility>
 
-#include "policy/probe_need.h"
+#include "policy/probe_priority.h"
 #include "policy/slow_start.h"
 
 namespace damasktack {
@@ -109,10 +109,10 @@
 // is larger by the way's share of an execution. Rounded up for a call that may
 // take the last slot: with fewer slots than hosts, parts rounded down would
 // leave slots idle while calls wait.
-bool EndpointTable::IsBelowOwnPart(double most_load) const {
-  const double part = (1 + ZoneCost()) * most_load * roster_.usable_slots() /
+bool EndpointTable::IsBelowFairShare(double max_load) const {
+  const double part = (1 + ZoneCost()) * max_load * roster_.usable_slots() /
                       static_cast<double>(hosts_);
-  const double whole = most_load >= 1 ? std::ceil(part) : std::floor(part);
+  const double whole = max_load >= 1 ? std::ceil(part) : std::floor(part);
   return own_in_flight_ + 1 <= std::max(whole, 1.0);
 }
 
@@ -126,8 +126,8 @@
     return std::nullopt;
   }
   const CandidateView::Choice choice{
-      request.most_load, request.avoid, IsBelowOwnPart(request.most_load),
-      Prior(now),        ZoneCost(),    now};
+      request.max_load, request.avoid, IsBelowFairShare(request.max_load),
+      Prior(now),       ZoneCost(),    now};
   const CandidateView view(open, roster_.records(), choice);
   return std::visit(
       [&](EndpointPicker auto& picker) { return picker.Pick(view, random); },
@@ -151,9 +151,9 @@
       roster_.usable(), [&](EndpointIndex it) { return TakesOne(it, now); });
 }
 
-std::optional<TimePoint> EndpointTable::OpensAt(TimePoint now,
-                                                TimePoint latest) const {
-  return restraints_.FirstOpening(roster_.usable(), now, latest);
+std::optional<TimePoint> EndpointTable::AvailableAt(TimePoint now,
+                                                    TimePoint latest) const {
+  return restraints_.FirstAvailableAt(roster_.usable(), now, latest);
 }
 
 double EndpointTable::FreeSlots(TimePoint now) const {
@@ -218,14 +218,14 @@
   roster_.OnReportedMode(endpoint, report.mode, now);
 }
 
-void EndpointTable::HearRateLimit(const EndpointProcess& endpoint,
-                                  std::optional<double> rate_limit,
-                                  TimePoint stated_at) {
+void EndpointTable::OnPeerRateLimit(const EndpointProcess& endpoint,
+                                    std::optional<double> rate_limit,
+                                    TimePoint stated_at) {
   for (EndpointIndex n = 0; n < specs_.size(); ++n) {
     const bool is_it = specs_[n].id == endpoint.id &&
                        specs_[n].started_at == endpoint.started_at;
     if (is_it && roster_.record(n).listed) {
-      restraints_.OnHeard(n, rate_limit, stated_at);
+      restraints_.OnPeerLimit(n, rate_limit, stated_at);
     }
   }
 }
@@ -249,7 +249,7 @@
   for (EndpointIndex n = 0; n < specs_.size(); ++n) {
     EndpointRecord& record = roster_.record(n);
     const double need =
-        restraints_.IsResting(n, now) ? 0 : ProbeNeed(record, context);
+        restraints_.IsPaused(n, now) ? 0 : ProbePriority(record, context);
     if (need > 0 && !has_probe && !record.probe_withheld) {
       record.probe_withheld = true;
       ++probes_withheld_;
--- a/policy/endpoint_table.h
+++ b/policy/endpoint_table.h
@@ -10,14 +10,14 @@
 #include "core/random.h"
 #include "core/time.h"
 #include "policy/call.h"
+#include "policy/endpoint_limits.h"
 #include "policy/endpoint_process.h"
 #include "policy/endpoint_report.h"
-#include "policy/endpoint_restraints.h"
 #include "policy/endpoint_roster.h"
 #include "policy/endpoint_status.h"
 #include "policy/picker_registry.h"
 #include "policy/probe_budget.h"
-#include "policy/service_norm.h"
+#include "policy/service_baseline.h"
 
 namespace damasktack {
 
@@ -37,7 +37,7 @@
   Urgency urgency = Urgency::kNormal;
   // The estimated load (in flight and queued, by slots) must stay below this
   // after the send; above 1 the call would wait at the endpoint.
-  double most_load = 1.0;
+  double max_load = 1.0;
   // Not this one where another will do: the call has just failed there.
   std::optional<EndpointIndex> avoid;
 };
@@ -55,7 +55,7 @@
                   TimePoint now);
 
   // Null where no endpoint has the room asked for, unless the host holds
-  // less than its own part of the slots (most_load of them, by `hosts`, and
+  // less than its own part of the slots (max_load of them, by `hosts`, and
   // at least one call): then some endpoint is always given.
   std::optional<EndpointIndex> Pick(const PickRequest& request,
                                     TimePoint now,
@@ -64,7 +64,7 @@
   bool AnyUsable(TimePoint now) const;
   // When the first endpoint takes a call by what the endpoints have asked for;
   // `latest` where none does before, null without a usable endpoint.
-  std::optional<TimePoint> OpensAt(TimePoint now, TimePoint latest) const;
+  std::optional<TimePoint> AvailableAt(TimePoint now, TimePoint latest) const;
   // Estimated slots that are free over all usable endpoints, and their sum.
   double FreeSlots(TimePoint now) const;
   double UsableSlots(TimePoint now) const;
@@ -99,9 +99,9 @@
   std::optional<double> RateLimit(EndpointIndex endpoint) const {
     return restraints_.rate_limit(endpoint);
   }
-  void HearRateLimit(const EndpointProcess& endpoint,
-                     std::optional<double> rate_limit,
-                     TimePoint stated_at);
+  void OnPeerRateLimit(const EndpointProcess& endpoint,
+                       std::optional<double> rate_limit,
+                       TimePoint stated_at);
 
   // Another host has seen the endpoint drain.
   void OnHeardDrain(const EndpointId& id, TimePoint now);
@@ -134,9 +134,9 @@
   // had them together.
   double OthersPerSlot() const;
   LoadPrior Prior(TimePoint now) const;
-  bool IsBelowOwnPart(double most_load) const;
+  bool IsBelowFairShare(double max_load) const;
   bool TakesOne(EndpointIndex index, TimePoint now) const {
-    return restraints_.MayTakeOne(index, now);
+    return restraints_.CanAcceptCall(index, now);
   }
   // Those of the usable endpoints that take a call now; `buf` holds them where
   // not all do.
@@ -147,8 +147,8 @@
   EndpointTableOptions options_;
   std::vector<EndpointSpec> specs_;
   EndpointRoster roster_;
-  EndpointRestraints restraints_;
-  ServiceNorm norm_;
+  EndpointLimits restraints_;
+  ServiceBaseline norm_;
   PickerVariant picker_;
   ProbeBudget budget_;
   std::int64_t hosts_ = 1;
--- a/policy/fleet_seat.h
+++ b/policy/host_number.h
@@ -1,5 +1,5 @@
-#ifndef POLICY_FLEET_SEAT_H_
-#define POLICY_FLEET_SEAT_H_
+#ifndef POLICY_HOST_NUMBER_H_
+#define POLICY_HOST_NUMBER_H_
 
 #include <cstdint>
 
@@ -8,7 +8,7 @@
 // The place of one host among those of the fleet, by a number that no other
 // host has. For a moment two may have the same: one that has not heard yet
 // that its number went to another.
-struct FleetSeat {
+struct HostNumber {
   static constexpr std::int64_t kNone = -1;
 
   std::int64_t number = kNone;
@@ -17,9 +17,9 @@
 
   bool IsKnown() const { return number != kNone; }
 
-  bool operator==(const FleetSeat&) const = default;
+  bool operator==(const HostNumber&) const = default;
 };
 
 }  // namespace damasktack
 
-#endif  // POLICY_FLEET_SEAT_H_
+#endif  // POLICY_HOST_NUMBER_H_
--- a/policy/seat_turns.cc
+++ b/policy/host_quota.cc
@@ -1,4 +1,4 @@
-#include "policy/seat_turns.h"
+#include "policy/host_quota.h"
 
 #include <xxhash.h>
 
@@ -11,7 +11,7 @@
 
 // By linear hashing: each seat more moves the turns of one seat only, so that
 // hosts which differ in the number of seats hardly differ in who has a turn.
-std::int64_t SeatOfTurn(std::uint64_t drawn, std::int64_t seats) {
+std::int64_t HostNumberOfUnit(std::uint64_t drawn, std::int64_t seats) {
   const auto all = std::bit_ceil(static_cast<std::uint64_t>(seats));
   const auto number = static_cast<std::int64_t>(drawn & (all - 1));
   return number < seats ? number
@@ -20,9 +20,9 @@
 
 }  // namespace
 
-void SeatTurns::Draw(const EndpointId& endpoint,
+void HostQuota::Draw(const EndpointId& endpoint,
                      int turns,
-                     const FleetSeat& seat) {
+                     const HostNumber& seat) {
   own_turns_ = 0;
   if (!seat.IsKnown()) {
     return;
@@ -30,17 +30,17 @@
   const auto seed = XXH3_64bits(endpoint.text().data(), endpoint.text().size());
   for (int turn = 0; turn < turns; ++turn) {
     const auto drawn = XXH3_64bits_withSeed(&turn, sizeof(turn), seed);
-    own_turns_ += SeatOfTurn(drawn, seat.seats) == seat.number ? 1 : 0;
+    own_turns_ += HostNumberOfUnit(drawn, seat.seats) == seat.number ? 1 : 0;
   }
 }
 
-bool SeatTurns::HasOne(TimePoint now) const {
+bool HostQuota::IsAvailable(TimePoint now) const {
   const auto used = std::ranges::count_if(
-      sent_, [now](TimePoint it) { return now - it < kTurnTime; });
+      sent_, [now](TimePoint it) { return now - it < kQuotaWindow; });
   return used < own_turns_;
 }
 
-void SeatTurns::OnSend(TimePoint now) {
+void HostQuota::OnSend(TimePoint now) {
   if (own_turns_ == 0) {
     return;
   }
--- a/policy/seat_turns.h
+++ b/policy/host_quota.h
@@ -1,33 +1,33 @@
-#ifndef POLICY_SEAT_TURNS_H_
-#define POLICY_SEAT_TURNS_H_
+#ifndef POLICY_HOST_QUOTA_H_
+#define POLICY_HOST_QUOTA_H_
 
 #include <vector>
 
 #include "core/ids.h"
 #include "core/time.h"
-#include "policy/fleet_seat.h"
+#include "policy/host_number.h"
 
 namespace damasktack {
 
 // The turns of one host at one endpoint that takes only a few calls from all
-// hosts together, each turn one call within kTurnTime.
+// hosts together, each turn one call within kQuotaWindow.
 //
 // The load that it answers: each host has calls for the endpoint all the time,
 // and what an endpoint says of itself is true for a moment only. The turns of
 // an endpoint fall to seats, drawn by a hash that all hosts compute alike, so
 // that no host needs to know what the others send.
-class SeatTurns {
+class HostQuota {
  public:
   // A second, and the time for which the call before may have been on its way.
-  static constexpr Duration kTurnTime = std::chrono::milliseconds(1250);
+  static constexpr Duration kQuotaWindow = std::chrono::milliseconds(1250);
 
   // `turns` are those of the endpoint in all. What was sent by a turn stays
   // counted.
-  void Draw(const EndpointId& endpoint, int turns, const FleetSeat& seat);
+  void Draw(const EndpointId& endpoint, int turns, const HostNumber& seat);
 
   // Those that fall to this host's seat.
   int own() const { return own_turns_; }
-  bool HasOne(TimePoint now) const;
+  bool IsAvailable(TimePoint now) const;
   void OnSend(TimePoint now);
 
  private:
@@ -38,4 +38,4 @@
 
 }  // namespace damasktack
 
-#endif  // POLICY_SEAT_TURNS_H_
+#endif  // POLICY_HOST_QUOTA_H_
--- a/policy/measured_balancer.cc
+++ b/policy/measured_balancer.cc
@@ -17,7 +17,7 @@
 constexpr Duration kLongestRetryAfter = std::chrono::seconds(1);
 
 // From 0 to 1.
-double DrawPart(Random& random) {
+double RandomFraction(Random& random) {
   constexpr std::uint32_t kSteps = 1U << 16U;
   return static_cast<double>(UniformBelow(random, kSteps)) / kSteps;
 }
@@ -31,7 +31,7 @@
       endpoints_(options_),
       probes_(options_, endpoints_),
       queue_(options_.admission),
-      retries_(options_.retries, DrawPart(random_)) {}
+      retries_(options_.retries, RandomFraction(random_)) {}
 
 void MeasuredBalancer::SetService(const ServiceSpec& service,
                                   std::int64_t hosts,
@@ -41,14 +41,14 @@
   endpoints_.SetService(service, hosts, now);
 }
 
-std::optional<MeasuredCandidate> MeasuredBalancer::SettleFor(
+std::optional<MeasuredCandidate> MeasuredBalancer::BestFreshOnTime(
     const WaitingCall& call,
     TimePoint now) {
   if (probes_.CountFresh(now) < options_.enough) {
     return std::nullopt;
   }
-  const std::optional<MeasuredCandidate> best =
-      endpoints_.Best(call, MeasuredEndpoints::Among::kFresh, now, random_);
+  const std::optional<MeasuredCandidate> best = endpoints_.Best(
+      call, MeasuredEndpoints::CandidateSet::kFresh, now, random_);
   return best && IsOnTime(call, *best, now) ? best : std::nullopt;
 }
 
@@ -69,29 +69,31 @@
 
 MeasuredBalancer::Decision MeasuredBalancer::Decide(const WaitingCall& call,
                                                     TimePoint now) {
-  const std::optional<MeasuredCandidate> best =
-      endpoints_.Best(call, MeasuredEndpoints::Among::kAll, now, random_);
-  NotePlace(call, best.has_value(), now);
+  const std::optional<MeasuredCandidate> best = endpoints_.Best(
+      call, MeasuredEndpoints::CandidateSet::kAll, now, random_);
+  UpdateUnavailableSince(call, best.has_value(), now);
   if (!best) {
-    if (!endpoints_.ServesRegionsOf(call)) {
+    if (!endpoints_.HasEndpointInRegionsOf(call)) {
       return {Step::kRefuse, best};
     }
-    const bool looks =
-        probes_.AwaitsReports(now) || probes_.Look(call, now, random_);
+    const bool looks = probes_.HasPendingProbes(now) ||
+                       probes_.RequestProbes(call, now, random_);
     const TimePoint since =
         std::min(no_place_since_.value_or(now), call.offer.arrival);
     const bool is_given_up =
-        !looks &&
-        (IsShut(call, now) || now - since >= options_.no_endpoint_patience);
+        !looks && (IsUnavailableTooLong(call, now) ||
+                   now - since >= options_.no_endpoint_timeout);
     return {is_given_up ? Step::kRefuse : Step::kWait, best};
   }
   if (best->is_good) {
     return {Step::kSend, best};
   }
-  if (const std::optional<MeasuredCandidate> settled = SettleFor(call, now)) {
+  if (const std::optional<MeasuredCandidate> settled =
+          BestFreshOnTime(call, now)) {
     return {Step::kSend, settled};
   }
-  if (probes_.AwaitsReports(now) || probes_.Look(call, now, random_)) {
+  if (probes_.HasPendingProbes(now) ||
+      probes_.RequestProbes(call, now, random_)) {
     return {Step::kWait, best};
   }
   if (IsOnTime(call, *best, now)) {
@@ -101,9 +103,10 @@
   return {is_last_chance ? Step::kSend : Step::kRefuse, best};
 }
 
-bool MeasuredBalancer::IsShut(const WaitingCall& call, TimePoint now) const {
-  const TimePoint patience_ends = now + options_.no_endpoint_patience;
-  const auto opens_at = endpoints_.OpensAt(call, now, patience_ends);
+bool MeasuredBalancer::IsUnavailableTooLong(const WaitingCall& call,
+                                            TimePoint now) const {
+  const TimePoint patience_ends = now + options_.no_endpoint_timeout;
+  const auto opens_at = endpoints_.AvailableAt(call, now, patience_ends);
   return opens_at && *opens_at >= patience_ends;
 }
 
@@ -115,7 +118,7 @@
 }
 
 void MeasuredBalancer::Admit(WaitingCall call, TimePoint now, Decisions& out) {
-  endpoints_.Expect(call.offer);
+  endpoints_.GuessUsualTime(call.offer);
   queue_.Add(std::move(call), out.rejections);
   Pump(now, out);
 }
@@ -161,7 +164,7 @@
   if (best) {
     wait = std::max(wait, now + best->finish - call.offer.on_time_until);
   } else if (const auto opens_at =
-                 endpoints_.OpensAt(call, now, now + kLongestRetryAfter)) {
+                 endpoints_.AvailableAt(call, now, now + kLongestRetryAfter)) {
     wait = std::max(wait, *opens_at - now);
   }
   return std::min(wait, kLongestRetryAfter);
@@ -210,9 +213,10 @@
                                           const SendEnd& end,
                                           TimePoint now) {
   const WaitingCall call{offer, end.endpoint};
-  return RetryAfter(
-      call, endpoints_.Best(call, MeasuredEndpoints::Among::kAll, now, random_),
-      now);
+  return RetryAfter(call,
+                    endpoints_.Best(call, MeasuredEndpoints::CandidateSet::kAll,
+                                    now, random_),
+                    now);
 }
 
 // A caller that comes for the first time has another try of its own, which
@@ -221,20 +225,21 @@
 // those that would have come back.
 bool MeasuredBalancer::IsLeftToCaller(const CallOffer& offer) const {
   return retries_.AreScarce() &&
-         !callers_.HasComeBack(offer.customer, offer.asked);
+         !callers_.IsReturning(offer.customer, offer.asked);
 }
 
 bool MeasuredBalancer::MayRetry(const CallOffer& offer,
                                 const SendEnd& end,
                                 TimePoint now) {
-  if (!MaySendAgain(end.result, offer.idempotent) || end.retried_deeper ||
+  if (!MaySendAgain(end.result, offer.idempotent) || end.retried_downstream ||
       end.is_suspected || offer.is_repeat) {
     return false;
   }
-  const int most_sends = offer.most_sends > 0
-                             ? std::min(offer.most_sends, options_.most_sends)
-                             : options_.most_sends;
-  if (end.sends >= most_sends ||
+  const int attempt_limit =
+      offer.attempt_limit > 0
+          ? std::min(offer.attempt_limit, options_.attempt_limit)
+          : options_.attempt_limit;
+  if (end.sends >= attempt_limit ||
       now + endpoints_.usual_time() >= offer.deadline) {
     return false;
   }
@@ -263,8 +268,8 @@
   Pump(now, out);
 }
 
-void MeasuredBalancer::HearDrain(const EndpointId& id, TimePoint now) {
-  endpoints_.HearDrain(id, now);
+void MeasuredBalancer::OnPeerDrain(const EndpointId& id, TimePoint now) {
+  endpoints_.OnPeerDrain(id, now);
 }
 
 void MeasuredBalancer::Tick(TimePoint now, Decisions& out) {
@@ -276,9 +281,9 @@
 }
 
 // A call that may go to some regions only says nothing of the others.
-void MeasuredBalancer::NotePlace(const WaitingCall& call,
-                                 bool is_there,
-                                 TimePoint now) {
+void MeasuredBalancer::UpdateUnavailableSince(const WaitingCall& call,
+                                              bool is_there,
+                                              TimePoint now) {
   if (is_there) {
     no_place_since_.reset();
   } else if (!no_place_since_ && call.offer.allowed_regions.empty()) {
--- a/policy/measured_balancer.h
+++ b/policy/measured_balancer.h
@@ -7,11 +7,11 @@
 #include "core/random.h"
 #include "policy/admission_queue.h"
 #include "policy/balancer.h"
-#include "policy/caller_times.h"
 #include "policy/measured_endpoints.h"
 #include "policy/measured_options.h"
 #include "policy/probe_planner.h"
 #include "policy/retry_budget.h"
+#include "policy/returning_caller_detector.h"
 
 namespace damasktack {
 
@@ -34,7 +34,9 @@
   void SetService(const ServiceSpec& service,
                   std::int64_t hosts,
                   TimePoint now) override;
-  void SetSeat(const FleetSeat& seat) override { endpoints_.SetSeat(seat); }
+  void SetHostNumber(const HostNumber& seat) override {
+    endpoints_.SetHostNumber(seat);
+  }
   void Offer(const CallOffer& offer, TimePoint now, Decisions& out) override;
   bool Withdraw(CallToken token, TimePoint now) override;
   AfterSend Finish(const CallOffer& offer,
@@ -65,15 +67,15 @@
   std::optional<double> RateLimit(EndpointIndex endpoint) const override {
     return endpoints_.RateLimit(endpoint);
   }
-  void HearRateLimit(const EndpointProcess& endpoint,
-                     std::optional<double> rate_limit,
-                     TimePoint stated_at) override {
-    endpoints_.HearRateLimit(endpoint, rate_limit, stated_at);
+  void OnPeerRateLimit(const EndpointProcess& endpoint,
+                       std::optional<double> rate_limit,
+                       TimePoint stated_at) override {
+    endpoints_.OnPeerRateLimit(endpoint, rate_limit, stated_at);
   }
-  void HearDrain(const EndpointId& id, TimePoint now) override;
+  void OnPeerDrain(const EndpointId& id, TimePoint now) override;
   void Tick(TimePoint now, Decisions& out) override;
   std::optional<EndpointIndex> NextProbe(TimePoint now) override;
-  bool probes_while_quiet() const override { return false; }
+  bool probes_while_idle() const override { return false; }
   void ProbeFailed(EndpointIndex endpoint,
                    SendResult result,
                    TimePoint now,
@@ -96,8 +98,8 @@
   };
 
   // The best of enough fresh reports, where the call is on time there.
-  std::optional<MeasuredCandidate> SettleFor(const WaitingCall& call,
-                                             TimePoint now);
+  std::optional<MeasuredCandidate> BestFreshOnTime(const WaitingCall& call,
+                                                   TimePoint now);
   Decision Decide(const WaitingCall& call, TimePoint now);
   bool IsOnTime(const WaitingCall& call,
                 const MeasuredCandidate& best,
@@ -115,13 +117,15 @@
   DecisionBasis BasisOf(const std::optional<MeasuredCandidate>& best,
                         TimePoint now) const;
   // Whether no endpoint takes a call for longer than one waits for a place.
-  bool IsShut(const WaitingCall& call, TimePoint now) const;
+  bool IsUnavailableTooLong(const WaitingCall& call, TimePoint now) const;
   Duration RetryAfter(const WaitingCall& call,
                       const std::optional<MeasuredCandidate>& best,
                       TimePoint now) const;
   bool IsLeftToCaller(const CallOffer& offer) const;
   bool MayRetry(const CallOffer& offer, const SendEnd& end, TimePoint now);
-  void NotePlace(const WaitingCall& call, bool is_there, TimePoint now);
+  void UpdateUnavailableSince(const WaitingCall& call,
+                              bool is_there,
+                              TimePoint now);
 
   const MeasuredBalancerOptions options_;
   Random random_;
@@ -129,7 +133,7 @@
   ProbePlanner probes_;
   AdmissionQueue queue_;
   RetryBudget retries_;
-  CallerTimes callers_;
+  ReturningCallerDetector callers_;
   // Since when no endpoint has been one that may take a call.
   std::optional<TimePoint> no_place_since_;
   std::uint64_t retries_granted_ = 0;
--- a/policy/measured_endpoints.cc
+++ b/policy/measured_endpoints.cc
@@ -133,18 +133,18 @@
          std::ranges::find(allowed, specs_[index].region) != allowed.end();
 }
 
-bool MeasuredEndpoints::ServesRegionsOf(const WaitingCall& call) const {
+bool MeasuredEndpoints::HasEndpointInRegionsOf(const WaitingCall& call) const {
   return call.offer.allowed_regions.empty() ||
          std::ranges::any_of(
              usable(), [&](EndpointIndex it) { return IsAllowed(call, it); });
 }
 
-bool MeasuredEndpoints::MayTakeOne(const MeasuredCandidate& candidate,
-                                   TimePoint now) const {
-  const ColdLook look{candidate.index, candidate.is_fresh, candidate.calls,
-                      candidate.slots};
-  return restraints_.MayTakeOne(candidate.index, now) &&
-         cold_.MayTakeOne(look, now);
+bool MeasuredEndpoints::CanAcceptCall(const MeasuredCandidate& candidate,
+                                      TimePoint now) const {
+  const ColdObservation look{candidate.index, candidate.is_fresh,
+                             candidate.calls, candidate.slots};
+  return restraints_.CanAcceptCall(candidate.index, now) &&
+         cold_.CanAcceptCall(look, now);
 }
 
 std::optional<ColdBasis> MeasuredEndpoints::ColdBasisOf(
@@ -166,16 +166,17 @@
          candidate.pace <= options_.good_pace;
 }
 
-std::optional<TimePoint> MeasuredEndpoints::OpensAt(const WaitingCall& call,
-                                                    TimePoint now,
-                                                    TimePoint latest) const {
+std::optional<TimePoint> MeasuredEndpoints::AvailableAt(
+    const WaitingCall& call,
+    TimePoint now,
+    TimePoint latest) const {
   if (call.offer.allowed_regions.empty()) {
-    return restraints_.FirstOpening(usable(), now, latest);
+    return restraints_.FirstAvailableAt(usable(), now, latest);
   }
   std::vector<EndpointIndex> allowed;
   std::ranges::copy_if(usable(), std::back_inserter(allowed),
                        [&](EndpointIndex it) { return IsAllowed(call, it); });
-  return restraints_.FirstOpening(allowed, now, latest);
+  return restraints_.FirstAvailableAt(allowed, now, latest);
 }
 
 void MeasuredEndpoints::DrawPreference() {
@@ -189,7 +190,7 @@
   preference_.Draw(options_.host, choices, specs_.size());
 }
 
-void MeasuredEndpoints::Expect(const CallOffer& offer) {
+void MeasuredEndpoints::GuessUsualTime(const CallOffer& offer) {
   if (!profile_.is_known()) {
     profile_.Guess((offer.on_time_until - offer.arrival) / kFirstGuess);
   }
@@ -224,8 +225,8 @@
   return std::max<double>(told, record.estimate.own_in_flight());
 }
 
-MeasuredCandidate MeasuredEndpoints::Weigh(EndpointIndex index,
-                                           TimePoint now) const {
+MeasuredCandidate MeasuredEndpoints::Evaluate(EndpointIndex index,
+                                              TimePoint now) const {
   const EndpointRecord& record = roster_.records()[index];
   MeasuredCandidate it;
   it.index = index;
@@ -234,7 +235,7 @@
   it.is_fresh = IsFresh(index, now) || !AreReporting();
   it.pace = PaceOf(index, now);
   const double queued = std::max(0.0, it.calls + 1 - record.slots);
-  const double slowdown = profile_.Slowdown(it.FillWithOne());
+  const double slowdown = profile_.Slowdown(it.FillAfterSend());
   const double work = it.pace * slowdown * (1 + queued / record.slots);
   it.finish = Scaled(profile_.usual(), work);
   // One that fails or refuses more than the others comes after them; what it
@@ -249,7 +250,7 @@
 
 std::optional<MeasuredCandidate> MeasuredEndpoints::Best(
     const WaitingCall& call,
-    Among among,
+    CandidateSet among,
     TimePoint now,
     Random& random) {
   roster_.Advance(now);
@@ -268,8 +269,9 @@
     if (is_avoided || !IsAllowed(call, index)) {
       continue;
     }
-    MeasuredCandidate it = Weigh(index, now);
-    if ((among == Among::kFresh && !it.is_fresh) || !MayTakeOne(it, now)) {
+    MeasuredCandidate it = Evaluate(index, now);
+    if ((among == CandidateSet::kFresh && !it.is_fresh) ||
+        !CanAcceptCall(it, now)) {
       continue;
     }
     if (IsDue(it)) {
@@ -286,9 +288,9 @@
   return best;
 }
 
-MeasuredCandidate MeasuredEndpoints::WeighForLook(EndpointIndex index,
-                                                  TimePoint now) const {
-  MeasuredCandidate it = Weigh(index, now);
+MeasuredCandidate MeasuredEndpoints::EvaluateForProbe(EndpointIndex index,
+                                                      TimePoint now) const {
+  MeasuredCandidate it = Evaluate(index, now);
   const bool has_joined =
       roster_.records()[index].state != EndpointState::kServing;
   const bool was_measured = measures_[index].ReportAge(now) >= Duration::zero();
@@ -303,7 +305,7 @@
                                const MeasuredCandidate& to,
                                TimePoint now) {
   SentCall& sent = sent_[token];
-  sent = {to.FillWithOne(), to.pace, to.is_fresh, std::nullopt};
+  sent = {to.FillAfterSend(), to.pace, to.is_fresh, std::nullopt};
   if (cold_.IsSlow(to.index, now)) {
     sent.warm_time = Scaled(to.finish, 1 / cold_pace_.value());
   }
@@ -371,17 +373,17 @@
   }
 }
 
-void MeasuredEndpoints::HearRateLimit(const EndpointProcess& endpoint,
-                                      std::optional<double> rate_limit,
-                                      TimePoint stated_at) {
+void MeasuredEndpoints::OnPeerRateLimit(const EndpointProcess& endpoint,
+                                        std::optional<double> rate_limit,
+                                        TimePoint stated_at) {
   const auto known = listed_.find(endpoint.id);
   if (known != listed_.end() &&
       specs_[known->second].started_at == endpoint.started_at) {
-    restraints_.OnHeard(known->second, rate_limit, stated_at);
+    restraints_.OnPeerLimit(known->second, rate_limit, stated_at);
   }
 }
 
-void MeasuredEndpoints::HearDrain(const EndpointId& id, TimePoint now) {
+void MeasuredEndpoints::OnPeerDrain(const EndpointId& id, TimePoint now) {
   const auto known = listed_.find(id);
   if (known != listed_.end()) {
     roster_.OnReportedMode(known->second, EndpointMode::kDraining, now);
@@ -405,7 +407,7 @@
     endpoint.state = std::string(ChartName(record.state));
     endpoint.reason = std::string(record.reason);
     endpoint.own_in_flight = record.estimate.own_in_flight();
-    endpoint.estimated_in_flight = Weigh(n, now).calls;
+    endpoint.estimated_in_flight = Evaluate(n, now).calls;
     endpoint.slots = static_cast<std::int32_t>(record.slots);
     endpoint.report_age = measures_[n].ReportAge(now);
     endpoint.rate_limit = restraints_.rate_limit(n);
--- a/policy/measured_endpoints.h
+++ b/policy/measured_endpoints.h
@@ -10,11 +10,11 @@
 #include "core/random.h"
 #include "policy/balancer.h"
 #include "policy/cold_endpoints.h"
-#include "policy/cold_pace.h"
+#include "policy/cold_slowdown.h"
+#include "policy/endpoint_limits.h"
 #include "policy/endpoint_measure.h"
 #include "policy/endpoint_preference.h"
 #include "policy/endpoint_process.h"
-#include "policy/endpoint_restraints.h"
 #include "policy/endpoint_roster.h"
 #include "policy/execution_profile.h"
 #include "policy/measured_options.h"
@@ -36,7 +36,7 @@
   bool is_good = false;
 
   // The part of the slots that is in use with one more call.
-  double FillWithOne() const { return (calls + 1) / slots; }
+  double FillAfterSend() const { return (calls + 1) / slots; }
   bool HasFreeSlot() const { return calls + 1 <= slots; }
 };
 
@@ -45,7 +45,7 @@
 class MeasuredEndpoints {
  public:
   // Whether also endpoints count of which only what is usual is known.
-  enum class Among : std::uint8_t { kAll, kFresh };
+  enum class CandidateSet : std::uint8_t { kAll, kFresh };
 
   explicit MeasuredEndpoints(const MeasuredBalancerOptions& options);
 
@@ -53,10 +53,10 @@
   void SetService(const ServiceSpec& service,
                   std::int64_t hosts,
                   TimePoint now);
-  void SetSeat(const FleetSeat& seat) { cold_.SetSeat(seat); }
+  void SetHostNumber(const HostNumber& seat) { cold_.SetHostNumber(seat); }
 
   // What is usual is guessed from the first call's objective.
-  void Expect(const CallOffer& offer);
+  void GuessUsualTime(const CallOffer& offer);
   void OnSend(CallToken token, const MeasuredCandidate& to, TimePoint now);
   void OnSendEnd(const SendEnd& end, TimePoint now);
   void OnReport(EndpointIndex endpoint,
@@ -79,39 +79,39 @@
   std::optional<double> RateLimit(EndpointIndex endpoint) const {
     return restraints_.rate_limit(endpoint);
   }
-  void HearRateLimit(const EndpointProcess& endpoint,
-                     std::optional<double> rate_limit,
-                     TimePoint stated_at);
+  void OnPeerRateLimit(const EndpointProcess& endpoint,
+                       std::optional<double> rate_limit,
+                       TimePoint stated_at);
   void OnProbe(EndpointIndex endpoint, TimePoint now);
   void OnProbeFailed(EndpointIndex endpoint, SendResult result, TimePoint now);
-  void HearDrain(const EndpointId& id, TimePoint now);
+  void OnPeerDrain(const EndpointId& id, TimePoint now);
   std::vector<EndpointChange> TakeChanges();
 
-  MeasuredCandidate Weigh(EndpointIndex index, TimePoint now) const;
+  MeasuredCandidate Evaluate(EndpointIndex index, TimePoint now) const;
   // The cheapest for the call; null without any that may take it.
   std::optional<MeasuredCandidate> Best(const WaitingCall& call,
-                                        Among among,
+                                        CandidateSet among,
                                         TimePoint now,
                                         Random& random);
   // Whether some endpoint that takes calls is in a region of the call's; true
   // where it may go anywhere.
-  bool ServesRegionsOf(const WaitingCall& call) const;
+  bool HasEndpointInRegionsOf(const WaitingCall& call) const;
   // When the first endpoint that may get the call takes one more by what the
   // endpoints have asked for; `latest` where none does before, null where there
   // is no endpoint.
-  std::optional<TimePoint> OpensAt(const WaitingCall& call,
-                                   TimePoint now,
-                                   TimePoint latest) const;
+  std::optional<TimePoint> AvailableAt(const WaitingCall& call,
+                                       TimePoint now,
+                                       TimePoint latest) const;
   // Whether a report of the endpoint could bring it the call.
-  bool IsWorthALook(const WaitingCall& call,
-                    EndpointIndex index,
-                    TimePoint now) const {
-    return IsAllowed(call, index) && restraints_.MayTakeOne(index, now) &&
-           cold_.IsWorthALook(index, now);
+  bool IsProbeUseful(const WaitingCall& call,
+                     EndpointIndex index,
+                     TimePoint now) const {
+    return IsAllowed(call, index) && restraints_.CanAcceptCall(index, now) &&
+           cold_.IsProbeUseful(index, now);
   }
   // For a look at an endpoint that is not fresh: its cost, less where it has
   // joined and this host is to turn to it later.
-  MeasuredCandidate WeighForLook(EndpointIndex index, TimePoint now) const;
+  MeasuredCandidate EvaluateForProbe(EndpointIndex index, TimePoint now) const;
 
   // What a call that goes to a cold endpoint rests on; null for others.
   std::optional<ColdBasis> ColdBasisOf(const MeasuredCandidate& candidate,
@@ -156,7 +156,7 @@
   EndpointIndex Add(const EndpointSpec& spec, bool as_warm, TimePoint now);
   // Whether the call may be worked on in the endpoint's region.
   bool IsAllowed(const WaitingCall& call, EndpointIndex index) const;
-  bool MayTakeOne(const MeasuredCandidate& candidate, TimePoint now) const;
+  bool CanAcceptCall(const MeasuredCandidate& candidate, TimePoint now) const;
   // Whether it has a limit that lets a call through now, and is not known to be
   // slow or full.
   bool IsDue(const MeasuredCandidate& candidate) const;
@@ -177,12 +177,12 @@
   std::unordered_multiset<EndpointId> unlisted_ids_;
   std::vector<EndpointMeasure> measures_;
   ColdEndpoints cold_;
-  EndpointRestraints restraints_;
+  EndpointLimits restraints_;
   EndpointPreference preference_;
   EndpointRoster roster_;
   MeasurePrior prior_;
   ExecutionProfile profile_;
-  ColdPace cold_pace_;
+  ColdSlowdown cold_pace_;
   // Calls at endpoints.
   std::unordered_map<CallToken, SentCall> sent_;
   std::optional<TimePoint> first_list_at_;
--- a/policy/measured_options.h
+++ b/policy/measured_options.h
@@ -20,7 +20,7 @@
   AdmissionOptions admission;
   RetryBudgetOptions retries;
   // Sends of one call at most, where its route allows more.
-  int most_sends = 3;
+  int attempt_limit = 3;
 
   // A report this young is taken as it is: within it a host's peers place less
   // than one call at an endpoint.
@@ -30,10 +30,10 @@
   Duration memory = std::chrono::milliseconds(150);
   // How long a decision waits for probes: twice the way to another zone and
   // back, and some work at both ends. As much again for each first look that is
-  // overdue, up to `most_patience`: then this host is short of processor time,
-  // and further probes would make it shorter.
-  Duration probe_patience = std::chrono::milliseconds(8);
-  Duration most_patience = std::chrono::milliseconds(40);
+  // overdue, up to `max_probe_timeout`: then this host is short of processor
+  // time, and further probes would make it shorter.
+  Duration probe_timeout = std::chrono::milliseconds(8);
+  Duration max_probe_timeout = std::chrono::milliseconds(40);
   // Probes of a first look, near ones first, and of each further one.
   std::size_t first_probes = 2;
   std::size_t further_probes = 6;
@@ -48,7 +48,7 @@
   double probe_part = 0.75;
   // What is unspent in a quiet time may be used in a bad one: probes of this
   // long, and no fewer than a few calls need at once.
-  Duration probe_saving = std::chrono::seconds(5);
+  Duration probe_budget_window = std::chrono::seconds(5);
   double probe_burst = 15;
   // An endpoint at which a call takes no longer than this by the usual time is
   // as good as any: looking for a better one costs probes and crossings. Lets
@@ -61,7 +61,7 @@
   EndpointPreferenceOptions preference;
   ColdBoundOptions cold;
   // Calls wait this long for a usable endpoint before they are refused.
-  Duration no_endpoint_patience = std::chrono::milliseconds(150);
+  Duration no_endpoint_timeout = std::chrono::milliseconds(150);
 };
 
 }  // namespace damasktack
--- a/policy/probe_planner.cc
+++ b/policy/probe_planner.cc
@@ -18,16 +18,16 @@
   fleet_.Set(hosts, 0, now);
   const double rate = options_.probe_limit * options_.probe_part *
                       static_cast<double>(endpoints) / fleet_.Count(now);
-  const std::chrono::duration<double> saving = options_.probe_saving;
+  const std::chrono::duration<double> saving = options_.probe_budget_window;
   budget_.SetBounds(rate, std::max(options_.probe_burst, rate * saving.count()),
                     now);
 }
 
-bool ProbePlanner::AwaitsReports(TimePoint now) const {
+bool ProbePlanner::HasPendingProbes(TimePoint now) const {
   if (!wanted_.empty()) {
     return true;
   }
-  const Duration patience = Patience(now);
+  const Duration patience = ProbeTimeout(now);
   return std::ranges::any_of(endpoints_.usable(), [&](EndpointIndex it) {
     return endpoints_.measure(it).IsPending(now, patience);
   });
@@ -41,41 +41,42 @@
 
 // A host that has just started, or is slow, would have endpoints of all zones
 // probed for one call while the answers of the first ones stand unread.
-Duration ProbePlanner::Patience(TimePoint now) const {
+Duration ProbePlanner::ProbeTimeout(TimePoint now) const {
   const auto overdue =
       std::ranges::count_if(endpoints_.usable(), [&](EndpointIndex it) {
         const EndpointMeasure& measure = endpoints_.measure(it);
         return measure.HasProbe() &&
-               !measure.IsPending(now, options_.probe_patience);
+               !measure.IsPending(now, options_.probe_timeout);
       });
   const auto looks =
       overdue / static_cast<std::ptrdiff_t>(
                     std::max<std::size_t>(options_.first_probes, 1));
-  return std::min<Duration>(options_.probe_patience * (1 + looks),
-                            options_.most_patience);
+  return std::min<Duration>(options_.probe_timeout * (1 + looks),
+                            options_.max_probe_timeout);
 }
 
-std::vector<MeasuredCandidate> ProbePlanner::Unknown(const WaitingCall& call,
-                                                     TimePoint now) const {
+std::vector<MeasuredCandidate> ProbePlanner::ProbeCandidates(
+    const WaitingCall& call,
+    TimePoint now) const {
   std::vector<MeasuredCandidate> unknown;
   for (const EndpointIndex it : endpoints_.usable()) {
     const EndpointMeasure& measure = endpoints_.measure(it);
     const bool is_known = endpoints_.IsFresh(it, now) || measure.HasProbe() ||
                           measure.FailedSince(now - options_.fresh);
-    if (!is_known && endpoints_.IsWorthALook(call, it, now)) {
-      unknown.push_back(endpoints_.WeighForLook(it, now));
+    if (!is_known && endpoints_.IsProbeUseful(call, it, now)) {
+      unknown.push_back(endpoints_.EvaluateForProbe(it, now));
     }
   }
   return unknown;
 }
 
-bool ProbePlanner::Look(const WaitingCall& call,
-                        TimePoint now,
-                        Random& random) {
+bool ProbePlanner::RequestProbes(const WaitingCall& call,
+                                 TimePoint now,
+                                 Random& random) {
   if (!endpoints_.AreReporting()) {
     return false;
   }
-  std::vector<MeasuredCandidate> unknown = Unknown(call, now);
+  std::vector<MeasuredCandidate> unknown = ProbeCandidates(call, now);
   const bool is_first_look = CountFresh(now) == 0;
   const std::size_t most =
       std::min(unknown.size(),
--- a/policy/probe_planner.h
+++ b/policy/probe_planner.h
@@ -28,10 +28,10 @@
   void Share(std::size_t endpoints, std::int64_t hosts, TimePoint now);
 
   // Whether probes are on their way that a decision should wait for.
-  bool AwaitsReports(TimePoint now) const;
+  bool HasPendingProbes(TimePoint now) const;
   // Asks for further probes that could help the call; false where there is
   // nobody left to probe, or no budget.
-  bool Look(const WaitingCall& call, TimePoint now, Random& random);
+  bool RequestProbes(const WaitingCall& call, TimePoint now, Random& random);
   // How many endpoints are known well enough to place a call.
   std::size_t CountFresh(TimePoint now) const;
 
@@ -43,9 +43,9 @@
   double per_second() const { return budget_.rate(); }
 
  private:
-  Duration Patience(TimePoint now) const;
-  std::vector<MeasuredCandidate> Unknown(const WaitingCall& call,
-                                         TimePoint now) const;
+  Duration ProbeTimeout(TimePoint now) const;
+  std::vector<MeasuredCandidate> ProbeCandidates(const WaitingCall& call,
+                                                 TimePoint now) const;
 
   const MeasuredBalancerOptions options_;
   MeasuredEndpoints& endpoints_;
--- a/policy/probe_need.cc
+++ b/policy/probe_priority.cc
@@ -1,4 +1,4 @@
-#include "policy/probe_need.h"
+#include "policy/probe_priority.h"
 
 #include <algorithm>
 
@@ -20,7 +20,8 @@
 
 }  // namespace
 
-double ProbeNeed(const EndpointRecord& record, const ProbeContext& context) {
+double ProbePriority(const EndpointRecord& record,
+                     const ProbeContext& context) {
   const bool pending =
       record.probe_pending && context.now - record.probe_sent_at < kProbeLost;
   if (pending || record.state == EndpointState::kGone ||
--- a/policy/probe_need.h
+++ b/policy/probe_priority.h
@@ -1,5 +1,5 @@
-#ifndef POLICY_PROBE_NEED_H_
-#define POLICY_PROBE_NEED_H_
+#ifndef POLICY_PROBE_PRIORITY_H_
+#define POLICY_PROBE_PRIORITY_H_
 
 #include "core/time.h"
 #include "policy/endpoint_record.h"
@@ -18,8 +18,8 @@
 // How much a probe of the endpoint is wanted: 0 is not at all, more goes
 // first. Reports that come on answers cost nothing, so only an endpoint from
 // which none came for a while is worth one; and nothing is, twice at a time.
-double ProbeNeed(const EndpointRecord& record, const ProbeContext& context);
+double ProbePriority(const EndpointRecord& record, const ProbeContext& context);
 
 }  // namespace damasktack
 
-#endif  // POLICY_PROBE_NEED_H_
+#endif  // POLICY_PROBE_PRIORITY_H_
--- a/policy/retry_budget.cc
+++ b/policy/retry_budget.cc
@@ -52,7 +52,7 @@
   });
   // The bound on memory holds whatever arrives. Starting over gives each
   // customer one repeat at most, and the service's own account still binds.
-  if (customers_.size() >= options_.most_customers) {
+  if (customers_.size() >= options_.max_customers) {
     customers_.clear();
   }
 }
@@ -64,7 +64,7 @@
     Refill(it->second, now);
     return it->second;
   }
-  if (customers_.size() >= options_.most_customers) {
+  if (customers_.size() >= options_.max_customers) {
     ForgetIdle(now);
   }
   return customers_.emplace(customer, Account{1, now}).first->second;
@@ -119,7 +119,7 @@
 }
 
 bool RetryBudget::IsFutile(SendResult result) const {
-  return !SurelyNotRun(result) && failing_ > options_.most_failing;
+  return !SurelyNotRun(result) && failing_ > options_.max_failing;
 }
 
 }  // namespace damasktack
--- a/policy/retry_budget.h
+++ b/policy/retry_budget.h
@@ -25,13 +25,13 @@
   double fleet_slack = 0;
   // Time in which a customer that sends almost nothing earns one repeat.
   Duration idle_refill = std::chrono::seconds(10);
-  std::size_t most_customers = 4096;
+  std::size_t max_customers = 4096;
   // With a larger part of the recent sends failing, a repeat of a call that
   // failed while it ran is of no use.
-  double most_failing = 0.25;
+  double max_failing = 0.25;
   // With a larger part of the recent sends refused unrun, repeats are scarce:
   // the budget is not enough for all of them.
-  double most_refused = 0.25;
+  double max_refused = 0.25;
 };
 
 // Repeated sends that one host allows for one service: a part of the first
@@ -61,7 +61,7 @@
   bool IsFutile(SendResult result) const;
 
   // Whether so many sends are refused that whom a repeat is for matters.
-  bool AreScarce() const { return refused_ > options_.most_refused; }
+  bool AreScarce() const { return refused_ > options_.max_refused; }
 
   std::size_t customers() const { return customers_.size(); }
 
--- a/policy/caller_times.cc
+++ b/policy/returning_caller_detector.cc
@@ -1,4 +1,4 @@
-#include "policy/caller_times.h"
+#include "policy/returning_caller_detector.h"
 
 #include <algorithm>
 
@@ -17,7 +17,9 @@
 
 }  // namespace
 
-void CallerTimes::Note(const CustomerId& route, Duration asked, TimePoint now) {
+void ReturningCallerDetector::Note(const CustomerId& route,
+                                   Duration asked,
+                                   TimePoint now) {
   if (longest_.size() >= kMostRoutes && !longest_.contains(route)) {
     longest_.clear();
   }
@@ -30,7 +32,8 @@
   it.now = std::max(it.now, asked);
 }
 
-bool CallerTimes::HasComeBack(const CustomerId& route, Duration asked) const {
+bool ReturningCallerDetector::IsReturning(const CustomerId& route,
+                                          Duration asked) const {
   const auto it = longest_.find(route);
   return it != longest_.end() &&
          asked + kLostByReturn < std::max(it->second.now, it->second.before);
--- a/policy/caller_times.h
+++ b/policy/returning_caller_detector.h
@@ -1,5 +1,5 @@
-#ifndef POLICY_CALLER_TIMES_H_
-#define POLICY_CALLER_TIMES_H_
+#ifndef POLICY_RETURNING_CALLER_DETECTOR_H_
+#define POLICY_RETURNING_CALLER_DETECTOR_H_
 
 #include <cstddef>
 #include <unordered_map>
@@ -13,12 +13,12 @@
 // first time: callers of one route begin with the same time, and whoever comes
 // back has less of it left. Where callers begin with times of their own, nearly
 // all of them count as having come back, and none goes before another.
-class CallerTimes {
+class ReturningCallerDetector {
  public:
   // A caller of the route allows its call `asked`.
   void Note(const CustomerId& route, Duration asked, TimePoint now);
   // Whether one that allows `asked` has come back.
-  bool HasComeBack(const CustomerId& route, Duration asked) const;
+  bool IsReturning(const CustomerId& route, Duration asked) const;
 
   std::size_t routes() const { return longest_.size(); }
 
@@ -35,4 +35,4 @@
 
 }  // namespace damasktack
 
-#endif  // POLICY_CALLER_TIMES_H_
+#endif  // POLICY_RETURNING_CALLER_DETECTOR_H_
--- a/policy/sampling_picker.cc
+++ b/policy/sampling_picker.cc
@@ -104,7 +104,7 @@
   if (!picked && sample.size < view.size()) {
     picked = FirstWithRoom(view, random);
   }
-  if (picked || !view.choice().below_own_part) {
+  if (picked || !view.choice().below_fair_share) {
     return picked;
   }
   picked = BestOf(sample, view, Demand::kShare, random);
--- a/policy/service_balancer.cc
+++ b/policy/service_balancer.cc
@@ -14,7 +14,7 @@
 
 AdmissionOptions AdmissionOf(const BalancerOptions& options) {
   AdmissionOptions admission = options.admission;
-  admission.most_waiting = static_cast<std::size_t>(options.most_waiting);
+  admission.max_waiting = static_cast<std::size_t>(options.max_waiting);
   return admission;
 }
 
@@ -42,11 +42,11 @@
 }
 
 void ServiceBalancer::Admit(WaitingCall call, TimePoint now, Decisions& out) {
-  WatchUsable(now);
+  UpdateUnusableSince(now);
   const CallToken token = call.offer.token;
   const Urgency urgency = call.offer.urgency;
-  const ShortageTreatment when_short = call.offer.when_short;
-  if (GivenUpOnEndpoints(now)) {
+  const OverloadPolicy overload_policy = call.offer.overload_policy;
+  if (HasEndpointTimeoutPassed(now)) {
     out.rejections.push_back({token, Refusal::kNoEndpoint});
     return;
   }
@@ -55,7 +55,7 @@
     out.rejections.push_back({token, Refusal::kDeadline});
     return;
   }
-  if (GoesFirst(urgency)) {
+  if (HasPrecedence(urgency)) {
     if (const auto endpoint = PickFor(call, false, now)) {
       queue_.OnDirectDispatch(urgency);
       Send(call, *endpoint, now, out);
@@ -67,15 +67,15 @@
   }
   queue_.Add(std::move(call), out.rejections);
   Pump(now, out);
-  if (when_short == ShortageTreatment::kShed && queue_.Remove(token)) {
+  if (overload_policy == OverloadPolicy::kShed && queue_.Remove(token)) {
     out.rejections.push_back({token, Refusal::kShed});
   }
 }
 
-bool ServiceBalancer::GoesFirst(Urgency urgency) const {
+bool ServiceBalancer::HasPrecedence(Urgency urgency) const {
   for (std::size_t n = 0; n < kUrgencyCount; ++n) {
     const auto other = static_cast<Urgency>(n);
-    const bool precedes = other <= urgency || queue_.IsOwed(other);
+    const bool precedes = other <= urgency || queue_.HasCredit(other);
     if (precedes && queue_.Waiting(other) > 0) {
       return false;
     }
@@ -115,11 +115,11 @@
   }
   service_times_[Index(offer.urgency)].Learn(end.took);
   const Duration execution =
-      execution_time_.Of(end.took, WayTo(end.endpoint), end.report);
+      execution_time_.Of(end.took, RoundTripTo(end.endpoint), end.report);
   queue_.Learn(offer.urgency, offer.customer, execution);
 }
 
-Duration ServiceBalancer::WayTo(EndpointIndex endpoint) const {
+Duration ServiceBalancer::RoundTripTo(EndpointIndex endpoint) const {
   const bool same_zone = table_.endpoint(endpoint).zone == options_.table.zone;
   return same_zone ? Duration::zero() : 2 * options_.table.zone_distance;
 }
@@ -132,13 +132,14 @@
   }
   // A hop that is further from the failure would multiply what the nearest
   // one does: three sends at each of ten hops are 59,049.
-  if (end.retried_deeper || offer.is_repeat) {
+  if (end.retried_downstream || offer.is_repeat) {
     return false;
   }
-  const int most_sends = offer.most_sends > 0
-                             ? std::min(offer.most_sends, options_.most_sends)
-                             : options_.most_sends;
-  if (end.sends >= most_sends ||
+  const int attempt_limit =
+      offer.attempt_limit > 0
+          ? std::min(offer.attempt_limit, options_.attempt_limit)
+          : options_.attempt_limit;
+  if (end.sends >= attempt_limit ||
       now + LeastServiceTime(offer.urgency) >= offer.deadline) {
     return false;
   }
@@ -162,12 +163,12 @@
   Pump(now, out);
 }
 
-void ServiceBalancer::HearDrain(const EndpointId& id, TimePoint now) {
+void ServiceBalancer::OnPeerDrain(const EndpointId& id, TimePoint now) {
   table_.OnHeardDrain(id, now);
 }
 
 void ServiceBalancer::Tick(TimePoint now, Decisions& out) {
-  WatchUsable(now);
+  UpdateUnusableSince(now);
   Pump(now, out);
 }
 
@@ -175,16 +176,16 @@
   if (queue_.empty()) {
     return;
   }
-  WatchUsable(now);
-  RefuseHopeless(now, out);
-  OweFloors(now);
+  UpdateUnusableSince(now);
+  RejectUnservable(now, out);
+  GrantFloorCredits(now);
   while (SendNext(now, out)) {
   }
-  SendLone(now, out);
+  SendDespiteLoad(now, out);
 }
 
-void ServiceBalancer::RefuseHopeless(TimePoint now, Decisions& out) {
-  if (GivenUpOnEndpoints(now)) {
+void ServiceBalancer::RejectUnservable(TimePoint now, Decisions& out) {
+  if (HasEndpointTimeoutPassed(now)) {
     queue_.Clear(Refusal::kNoEndpoint, out.rejections);
     return;
   }
@@ -202,23 +203,23 @@
   }
 }
 
-void ServiceBalancer::OweFloors(TimePoint now) {
+void ServiceBalancer::GrantFloorCredits(TimePoint now) {
   for (std::size_t n = 0; n < kUrgencyCount; ++n) {
     const auto urgency = static_cast<Urgency>(n);
     if (queue_.Waiting(urgency) == 0) {
       continue;
     }
-    const Duration pause = reservation_.LongestPause(
+    const Duration pause = reservation_.MaxDispatchInterval(
         urgency, table_.UsableSlots(now), service_times_[n].Mean(), hosts_);
     if (now - last_served_[n] >= pause) {
-      queue_.Owe(urgency);
+      queue_.GrantCredit(urgency);
     }
   }
 }
 
 bool ServiceBalancer::SendNext(TimePoint now, Decisions& out) {
   for (const Urgency urgency : queue_.Order()) {
-    const bool owed = queue_.IsOwed(urgency);
+    const bool owed = queue_.HasCredit(urgency);
     const auto endpoint = PickFor(*queue_.Head(urgency), owed, now);
     if (endpoint) {
       Send(queue_.Take(urgency), *endpoint, now, out);
@@ -228,12 +229,12 @@
   return false;
 }
 
-bool ServiceBalancer::SendLone(TimePoint now, Decisions& out) {
+bool ServiceBalancer::SendDespiteLoad(TimePoint now, Decisions& out) {
   // Where every report lies high or stays frozen, each host would wait for an
   // answer that only a send can bring. One send for each host and pause is
   // too little to harm an endpoint that really is full.
   if (queue_.empty() || in_flight_ > 0 ||
-      now - last_send_ < options_.lone_send_pause) {
+      now - last_send_ < options_.forced_send_interval) {
     return false;
   }
   const Urgency urgency = *queue_.Order().begin();
@@ -257,7 +258,7 @@
       return std::nullopt;
     }
   }
-  const PickRequest request{urgency, reservation_.MostLoad(urgency, owed),
+  const PickRequest request{urgency, reservation_.MaxLoad(urgency, owed),
                             call.avoid};
   return table_.Pick(request, now, random_);
 }
@@ -282,7 +283,7 @@
                   service_times_[Index(urgency)].Least());
 }
 
-void ServiceBalancer::WatchUsable(TimePoint now) {
+void ServiceBalancer::UpdateUnusableSince(TimePoint now) {
   if (table_.AnyUsable(now)) {
     unusable_since_.reset();
   } else if (!unusable_since_) {
@@ -292,12 +293,12 @@
 
 // Also where it is known that no endpoint takes a call for longer than calls
 // wait for one.
-bool ServiceBalancer::GivenUpOnEndpoints(TimePoint now) const {
-  const TimePoint patience_ends = now + options_.no_endpoint_patience;
-  const auto opens_at = table_.OpensAt(now, patience_ends);
+bool ServiceBalancer::HasEndpointTimeoutPassed(TimePoint now) const {
+  const TimePoint patience_ends = now + options_.no_endpoint_timeout;
+  const auto opens_at = table_.AvailableAt(now, patience_ends);
   const bool is_shut = opens_at && *opens_at >= patience_ends;
   return is_shut || (unusable_since_ &&
-                     now - *unusable_since_ >= options_.no_endpoint_patience);
+                     now - *unusable_since_ >= options_.no_endpoint_timeout);
 }
 
 std::optional<EndpointIndex> ServiceBalancer::NextProbe(TimePoint now) {
--- a/policy/service_balancer.h
+++ b/policy/service_balancer.h
@@ -24,17 +24,17 @@
 
 struct BalancerOptions {
   EndpointTableOptions table;
-  std::int64_t most_waiting = 4096;
+  std::int64_t max_waiting = 4096;
   AdmissionOptions admission;
   TrunkReservationOptions reservation;
   RetryBudgetOptions retries;
   // Sends of one call at most.
-  int most_sends = 3;
+  int attempt_limit = 3;
   // Calls wait this long for a usable endpoint before they are refused.
-  Duration no_endpoint_patience = std::chrono::milliseconds(250);
+  Duration no_endpoint_timeout = std::chrono::milliseconds(250);
   // With calls waiting and none in flight, one is sent this often whatever
   // the endpoints seem to hold.
-  Duration lone_send_pause = std::chrono::milliseconds(50);
+  Duration forced_send_interval = std::chrono::milliseconds(50);
 };
 
 // Balances by what this host's own calls and the reports on their answers tell,
@@ -70,15 +70,15 @@
   std::optional<double> RateLimit(EndpointIndex endpoint) const override {
     return table_.RateLimit(endpoint);
   }
-  void HearRateLimit(const EndpointProcess& endpoint,
-                     std::optional<double> rate_limit,
-                     TimePoint stated_at) override {
-    table_.HearRateLimit(endpoint, rate_limit, stated_at);
+  void OnPeerRateLimit(const EndpointProcess& endpoint,
+                       std::optional<double> rate_limit,
+                       TimePoint stated_at) override {
+    table_.OnPeerRateLimit(endpoint, rate_limit, stated_at);
   }
-  void HearDrain(const EndpointId& id, TimePoint now) override;
+  void OnPeerDrain(const EndpointId& id, TimePoint now) override;
   void Tick(TimePoint now, Decisions& out) override;
   std::optional<EndpointIndex> NextProbe(TimePoint now) override;
-  bool probes_while_quiet() const override { return true; }
+  bool probes_while_idle() const override { return true; }
   void ProbeFailed(EndpointIndex endpoint,
                    SendResult result,
                    TimePoint now,
@@ -94,11 +94,11 @@
  private:
   void Admit(WaitingCall call, TimePoint now, Decisions& out);
   void Pump(TimePoint now, Decisions& out);
-  void RefuseHopeless(TimePoint now, Decisions& out);
+  void RejectUnservable(TimePoint now, Decisions& out);
   // Owes a dispatch to each urgency that has waited too long for one.
-  void OweFloors(TimePoint now);
+  void GrantFloorCredits(TimePoint now);
   bool SendNext(TimePoint now, Decisions& out);
-  bool SendLone(TimePoint now, Decisions& out);
+  bool SendDespiteLoad(TimePoint now, Decisions& out);
   std::optional<EndpointIndex> PickFor(const WaitingCall& call,
                                        bool owed,
                                        TimePoint now);
@@ -106,14 +106,14 @@
             EndpointIndex endpoint,
             TimePoint now,
             Decisions& out);
-  bool GoesFirst(Urgency urgency) const;
+  bool HasPrecedence(Urgency urgency) const;
   bool MayRetry(const CallOffer& offer, const SendEnd& end, TimePoint now);
   void Learn(const CallOffer& offer, const SendEnd& end);
   // Time to the endpoint and back.
-  Duration WayTo(EndpointIndex endpoint) const;
+  Duration RoundTripTo(EndpointIndex endpoint) const;
   Duration LeastServiceTime(Urgency urgency) const;
-  bool GivenUpOnEndpoints(TimePoint now) const;
-  void WatchUsable(TimePoint now);
+  bool HasEndpointTimeoutPassed(TimePoint now) const;
+  void UpdateUnusableSince(TimePoint now);
 
   BalancerOptions options_;
   Random random_;
--- a/policy/service_norm.cc
+++ b/policy/service_baseline.cc
@@ -1,4 +1,4 @@
-#include "policy/service_norm.h"
+#include "policy/service_baseline.h"
 
 #include <algorithm>
 
@@ -31,20 +31,20 @@
 
 }  // namespace
 
-void ServiceNorm::OnReport(double others_per_slot, TimePoint now) {
+void ServiceBaseline::OnReport(double others_per_slot, TimePoint now) {
   const double weight = has_report_ ? kMeanWeight : 1;
   others_per_slot_ += weight * (others_per_slot - others_per_slot_);
   has_report_ = true;
   reported_at_ = now;
 }
 
-void ServiceNorm::OnNextReport(const ReportPair& pair) {
+void ServiceBaseline::OnNextReport(const ReportPair& pair) {
   if (typical_ != Duration::zero()) {
     trust_.OnReport(pair, typical_);
   }
 }
 
-void ServiceNorm::OnAnswer(Duration took) {
+void ServiceBaseline::OnAnswer(Duration took) {
   if (typical_ == Duration::zero()) {
     typical_ = std::max(took, Duration(1));
     return;
@@ -54,14 +54,14 @@
   typical_ = std::max(typical_, Duration(1));
 }
 
-double ServiceNorm::OthersPerSlot(const OwnLoad& own, TimePoint now) const {
+double ServiceBaseline::OthersPerSlot(const OwnLoad& own, TimePoint now) const {
   const double like_own = OthersLikeOwn(own);
   const double left =
       has_report_ ? Decay(now - reported_at_, kReportsLast) : 0.0;
   return like_own + (others_per_slot_ - like_own) * left;
 }
 
-LoadPrior ServiceNorm::Prior(const OwnLoad& own, TimePoint now) const {
+LoadPrior ServiceBaseline::Prior(const OwnLoad& own, TimePoint now) const {
   LoadPrior prior;
   if (typical_ == Duration::zero()) {
     prior.relaxation = kRelaxationAtFirst;
@@ -77,7 +77,7 @@
   return prior;
 }
 
-double ServiceNorm::RelativeTime(Duration took) const {
+double ServiceBaseline::RelativeTime(Duration took) const {
   if (typical_ == Duration::zero()) {
     return 1;
   }
--- a/policy/service_norm.h
+++ b/policy/service_baseline.h
@@ -1,12 +1,12 @@
-#ifndef POLICY_SERVICE_NORM_H_
-#define POLICY_SERVICE_NORM_H_
+#ifndef POLICY_SERVICE_BASELINE_H_
+#define POLICY_SERVICE_BASELINE_H_
 
 #include <cstdint>
 
 #include "core/time.h"
 #include "policy/decay.h"
 #include "policy/endpoint_estimate.h"
-#include "policy/report_trust.h"
+#include "policy/stale_report_detector.h"
 
 namespace damasktack {
 
@@ -20,7 +20,7 @@
 // What is usual among the endpoints of one service, as one host sees them.
 // An endpoint is judged against it, so that a bad hour of the whole service
 // makes none of them look bad.
-class ServiceNorm {
+class ServiceBaseline {
  public:
   // The last reports of all endpoints together left `others_per_slot` calls
   // of other hosts.
@@ -44,9 +44,9 @@
   bool has_report_ = false;
   TimePoint reported_at_;
   Duration typical_{};
-  ReportTrust trust_;
+  StaleReportDetector trust_;
 };
 
 }  // namespace damasktack
 
-#endif  // POLICY_SERVICE_NORM_H_
+#endif  // POLICY_SERVICE_BASELINE_H_
--- a/policy/report_trust.cc
+++ b/policy/stale_report_detector.cc
@@ -1,4 +1,4 @@
-#include "policy/report_trust.h"
+#include "policy/stale_report_detector.h"
 
 #include <algorithm>
 
@@ -24,7 +24,7 @@
 
 // Reports closer together than an execution are left out: a fresh one may
 // well repeat the last, as nothing may have happened in between.
-void ReportTrust::OnReport(const ReportPair& pair, Duration execution) {
+void StaleReportDetector::OnReport(const ReportPair& pair, Duration execution) {
   if (pair.apart >= execution) {
     Learn(like_same_, pair.calls == pair.calls_before);
   }
@@ -35,12 +35,12 @@
   last_calls_ = pair.calls;
 }
 
-double ReportTrust::RepeatedPart() const {
+double StaleReportDetector::RepeatedPart() const {
   const double unlike = std::max(1 - like_other_, kLeastUnlike);
   return std::clamp((like_same_ - like_other_) / unlike, 0.0, 1.0);
 }
 
-bool ReportTrust::IsTrusted() const {
+bool StaleReportDetector::IsTrusted() const {
   return RepeatedPart() <= kMostRepeated;
 }
 
--- a/policy/report_trust.h
+++ b/policy/stale_report_detector.h
@@ -1,5 +1,5 @@
-#ifndef POLICY_REPORT_TRUST_H_
-#define POLICY_REPORT_TRUST_H_
+#ifndef POLICY_STALE_REPORT_DETECTOR_H_
+#define POLICY_STALE_REPORT_DETECTOR_H_
 
 #include <cstdint>
 #include <optional>
@@ -26,7 +26,7 @@
 // looks new. But an execution later an endpoint at work seldom has as many
 // calls as before. Where reports repeat the last one more often than those of
 // two different endpoints happen to be alike, they are old.
-class ReportTrust {
+class StaleReportDetector {
  public:
   // `execution` is the typical time of one; above zero.
   void OnReport(const ReportPair& pair, Duration execution);
@@ -49,4 +49,4 @@
 
 }  // namespace damasktack
 
-#endif  // POLICY_REPORT_TRUST_H_
+#endif  // POLICY_STALE_REPORT_DETECTOR_H_
--- a/policy/target_choice.h
+++ b/policy/target_choice.h
@@ -9,7 +9,7 @@
 // The service that one request of a route goes to, drawn by the weights of the
 // route's targets. Drawn anew for each request and never moved to another
 // target, so that the parts keep to their weights on every host and also while
-// one of them is short of room. The route must have passed CheckRouteBook.
+// one of them is short of room. The route must have passed CheckRouteTable.
 const ServiceId& ChooseTarget(const Route& route, Random& random);
 
 }  // namespace damasktack
--- a/policy/trunk_reservation.h
+++ b/policy/trunk_reservation.h
@@ -14,11 +14,11 @@
   // Most load of the picked endpoint after the send, by urgency. Urgent calls
   // may wait in a short queue there: a report that is old says "full" for
   // longer than it is.
-  std::array<double, kUrgencyCount> most_load = {1.35, 1.01, 1.01};
+  std::array<double, kUrgencyCount> max_load = {1.35, 1.01, 1.01};
   // Part of the slots that an urgency gets at least while it waits.
   std::array<double, kUrgencyCount> floors = {1.0, 0.10, 0.05};
-  Duration shortest_pause = std::chrono::milliseconds(10);
-  Duration longest_pause = std::chrono::seconds(10);
+  Duration min_dispatch_interval = std::chrono::milliseconds(10);
+  Duration max_dispatch_interval = std::chrono::seconds(10);
 };
 
 // Slots of one service as one host sees them now.
@@ -38,13 +38,13 @@
   // Whether a call of this urgency may take a slot.
   bool Allows(Urgency urgency, const SlotView& slots) const;
   // Bound on the load of the endpoint; `owed` calls go as far as urgent ones.
-  double MostLoad(Urgency urgency, bool owed) const;
+  double MaxLoad(Urgency urgency, bool owed) const;
   // How long an urgency may wait on one of `hosts` hosts without a dispatch
   // before it is owed one, so that all hosts together give it its floor.
-  Duration LongestPause(Urgency urgency,
-                        double usable_slots,
-                        Duration mean_service_time,
-                        std::int64_t hosts) const;
+  Duration MaxDispatchInterval(Urgency urgency,
+                               double usable_slots,
+                               Duration mean_service_time,
+                               std::int64_t hosts) const;
 
  private:
   TrunkReservationOptions options_;
--- a/proxy/call_handler.cc
+++ b/proxy/call_handler.cc
@@ -91,7 +91,8 @@
       loop_(loop),
       wake_(loop.context()),
       suspicion_(state.quarantine(), loop.context()),
-      call_id_(names().callers_name_calls ? std::string() : MakeCallId()) {}
+      call_id_(names().callers_assign_call_ids ? std::string() : MakeCallId()) {
+}
 
 void CallHandler::CallerGone() {
   caller_gone_ = true;
@@ -413,15 +414,16 @@
     const bool is_suspected =
         suspicion_.IsSuspected() && !SurelyNotRun(ForOutcome(sent));
     suspicion_.OnSendEnd(CallerOf(request), request, placement.target, sent);
-    const SendEnd end{.token = offer_.token,
-                      .endpoint = placement.endpoint,
-                      .result = sent.result,
-                      .took = sent.took,
-                      .report = sent.report,
-                      .signals = sent.signals,
-                      .retried_deeper = WentThroughAnotherHop(sent, names()),
-                      .is_suspected = is_suspected,
-                      .sends = ++sends};
+    const SendEnd end{
+        .token = offer_.token,
+        .endpoint = placement.endpoint,
+        .result = sent.result,
+        .took = sent.took,
+        .report = sent.report,
+        .signals = sent.signals,
+        .retried_downstream = WentThroughAnotherHop(sent, names()),
+        .is_suspected = is_suspected,
+        .sends = ++sends};
     const AfterSend after =
         dispatcher_->Finish(offer_, end, MakeOnPlaced(), Clock::now());
     if (after == AfterSend::kRetry) {
@@ -492,7 +494,7 @@
   const InFlight in_flight(state_.calls_in_flight());
   offer_.token = state_.NextToken();
   offer_.arrival = Clock::now();
-  if (names().callers_name_calls) {
+  if (names().callers_assign_call_ids) {
     call_id_ = CallId(std::string(request[names().call]));
   }
   routing_ = state_.routing();
--- a/proxy/call_log.cc
+++ b/proxy/call_log.cc
@@ -59,7 +59,7 @@
       "calls={:.1f} slots={:.0f} asked_ms={} hosts={:.0f} seat={}/{} "
       "left_out={}",
       call.text(), endpoint.text(), ToMs(basis.left), ToString(basis.word),
-      ToMs(basis.word_age), basis.calls, basis.slots, ToMs(basis.asked_age),
+      ToMs(basis.source_age), basis.calls, basis.slots, ToMs(basis.asked_age),
       basis.hosts, basis.seat.number, basis.seat.seats, *left_out);
 }
 
--- a/proxy/call_suspicion.cc
+++ b/proxy/call_suspicion.cc
@@ -22,7 +22,7 @@
     return false;
   }
   judgement_ = {};
-  if (quarantine_.HoldsAny()) {
+  if (quarantine_.HasSuspects()) {
     judgement_ = quarantine_.Judge(Fingerprint(caller, request), Clock::now());
   }
   return judgement_.suspicion == Suspicion::kQuarantined;
@@ -32,15 +32,15 @@
                               const HttpRequest& request,
                               const EndpointTarget& target,
                               const ExchangeResult& sent) {
-  if (sent.result == SendResult::kAnswered && quarantine_.HoldsAny()) {
+  if (sent.result == SendResult::kAnswered && quarantine_.HasSuspects()) {
     quarantine_.OnAnswered(Fingerprint(caller, request), Clock::now());
   }
   if (sent.result != SendResult::kBroken || !sent.wrote) {
     return;
   }
   const EndpointProcess endpoint{target.id, target.started_at};
-  const CrashSighting sighting{Fingerprint(caller, request), endpoint,
-                               Clock::now()};
+  const CrashObservation sighting{Fingerprint(caller, request), endpoint,
+                                  Clock::now()};
   if (quarantine_.OnBroken(sighting)) {
     asio::co_spawn(context_,
                    CheckForCrash(quarantine_, endpoint, target.address),
--- a/proxy/call_terms.cc
+++ b/proxy/call_terms.cc
@@ -16,7 +16,7 @@
 void FillContract(const Contract& contract, CallOffer& offer) {
   offer.customer = contract.customer;
   offer.share = contract.share;
-  offer.when_short = contract.when_short;
+  offer.overload_policy = contract.overload_policy;
   offer.waiting_limit = contract.limits.waiting_per_host;
   offer.retry_percent = contract.retry_percent;
 }
@@ -58,7 +58,7 @@
   FillContract(route.contract, offer);
   offer.urgency = route.urgency;
   offer.idempotent = route.idempotent;
-  offer.most_sends = route.most_sends;
+  offer.attempt_limit = route.attempt_limit;
   offer.allowed_regions = route.allowed_regions;
   const Duration asked = AskedTime(request, names);
   offer.asked = asked;
--- a/proxy/caller_server.cc
+++ b/proxy/caller_server.cc
@@ -135,7 +135,7 @@
 Duration CallerServer::QuietPause() const {
   const auto dispatchers = state_.dispatchers();
   const bool probes = std::ranges::any_of(dispatchers, [](const auto& it) {
-    return it.second->probes_while_quiet();
+    return it.second->probes_while_idle();
   });
   return std::max(state_.options().tick, probes ? kQuietTick : kIdleTick);
 }
@@ -143,7 +143,7 @@
 void CallerServer::OnWaiting() {
   loops_.front()->door()->Post([this] {
     for (const auto& [id, dispatcher] : state_.dispatchers()) {
-      if (!dispatcher->probes_while_quiet()) {
+      if (!dispatcher->probes_while_idle()) {
         StartProbes(dispatcher, Clock::now());
       }
     }
--- a/proxy/endpoint_exchange.cc
+++ b/proxy/endpoint_exchange.cc
@@ -115,7 +115,7 @@
     co_return false;
   }
   socket_.set_option(Tcp::no_delay(true), ec);
-  EndLostConnection(socket_.native_handle(), kUnacknowledged);
+  EnableLostConnectionDetection(socket_.native_handle(), kUnacknowledged);
   co_return true;
 }
 
@@ -187,7 +187,7 @@
   const bool has_no_end = answer.count(http::field::content_length) == 0 &&
                           answer.count(http::field::transfer_encoding) == 0;
   return EndIsMarked(answer, to_head) ||
-         (has_no_end && names_.answers_may_end_with_connection);
+         (has_no_end && names_.response_may_end_at_close);
 }
 
 // An endpoint may answer a call twice, and the second answer then stands where
@@ -210,7 +210,7 @@
     if (named.empty() && is_refusal) {
       co_return answer;
     }
-    if (named.empty() || !names_.answers_may_be_doubled ||
+    if (named.empty() || !names_.may_duplicate_responses ||
         !answer->keep_alive()) {
       co_return std::nullopt;
     }
@@ -225,7 +225,7 @@
     return std::nullopt;
   }
   const TimePoint now = Clock::now();
-  std::optional<EndpointReport> report = names_.load_is_list
+  std::optional<EndpointReport> report = names_.positional_load_header
                                              ? ParseEndpointLoadList(load, now)
                                              : ParseEndpointLoad(load, now);
   if (report) {
--- a/proxy/header_rewrite.cc
+++ b/proxy/header_rewrite.cc
@@ -81,8 +81,8 @@
                         std::int64_t depth,
                         const ProtocolNames& names) {
   RemoveHopByHop(request);
-  RemoveOwn(request, names.own_prefix);
-  if (!names.callers_name_calls) {
+  RemoveOwn(request, names.own_header_prefix);
+  if (!names.callers_assign_call_ids) {
     SetNamed(request, names.call, call.text());
   }
   SetNamed(request, names.depth, std::to_string(depth));
--- a/proxy/proxy_state.cc
+++ b/proxy/proxy_state.cc
@@ -24,7 +24,7 @@
                        LimitGate& limits,
                        ClaimGate& claims)
     : options_(std::move(options)), limits_(limits), claims_(claims) {
-  endpoint_rates_.SetOnHeard([this](const StatedRate& stated) {
+  endpoint_rates_.SetOnReceived([this](const StatedRate& stated) {
     for (const auto& [id, dispatcher] : dispatchers()) {
       dispatcher->HearRate(stated);
     }
@@ -48,7 +48,7 @@
                                                            on_waiting_();
                                                          }
                                                        });
-      dispatcher->SetSeat(seat_);
+      dispatcher->SetHostNumber(seat_);
     }
     dispatcher->SetService(service, hosts, now);
     // What peers said of an endpoint may come before its entry.
@@ -60,11 +60,11 @@
   routing_ = std::move(table);
 }
 
-void ProxyState::SetSeat(const FleetSeat& seat) {
+void ProxyState::SetHostNumber(const HostNumber& seat) {
   const std::unique_lock lock(mutex_);
   seat_ = seat;
   for (const auto& [id, dispatcher] : dispatchers_) {
-    dispatcher->SetSeat(seat);
+    dispatcher->SetHostNumber(seat);
   }
 }
 
--- a/proxy/proxy_state.h
+++ b/proxy/proxy_state.h
@@ -68,7 +68,7 @@
   // Puts new documents in force for the calls that arrive from now on.
   void SetRouting(RoutingTablePtr table, std::int64_t hosts, TimePoint now);
   // This host's place among the hosts from now on.
-  void SetSeat(const FleetSeat& seat);
+  void SetHostNumber(const HostNumber& seat);
   RoutingTablePtr routing() const;
   // What callers may send: the published limits, or else the settings.
   CallerLimits bounds() const;
@@ -124,7 +124,7 @@
   mutable std::shared_mutex mutex_;
   RoutingTablePtr routing_ = std::make_shared<RoutingTable>();
   std::map<ServiceId, std::shared_ptr<ServiceDispatcher>> dispatchers_;
-  FleetSeat seat_;
+  HostNumber seat_;
   std::function<bool()> is_current_;
   TimePoint current_by_ = TimePoint::min();
   std::function<void()> on_waiting_;
--- a/proxy/routing_table.cc
+++ b/proxy/routing_table.cc
@@ -50,8 +50,8 @@
   return hex;
 }
 
-RoutingTable::RoutingTable(const ContractBook& contracts,
-                           const ServiceBook& services)
+RoutingTable::RoutingTable(const ContractList& contracts,
+                           const ServiceList& services)
     : contracts_(contracts.contracts), services_(services.services) {
   std::ranges::sort(services_, [](const ServiceSpec& a, const ServiceSpec& b) {
     return a.prefix.size() > b.prefix.size();
@@ -63,7 +63,7 @@
   }
 }
 
-RoutingTable::RoutingTable(std::shared_ptr<const RouteBook> book,
+RoutingTable::RoutingTable(std::shared_ptr<const RouteTable> book,
                            std::vector<ServiceSpec> services)
     : services_(std::move(services)), book_(std::move(book)) {
   for (std::size_t n = 0; n < services_.size(); ++n) {
--- a/proxy/routing_table.h
+++ b/proxy/routing_table.h
@@ -20,9 +20,9 @@
 class RoutingTable {
  public:
   RoutingTable() = default;
-  RoutingTable(const ContractBook& contracts, const ServiceBook& services);
+  RoutingTable(const ContractList& contracts, const ServiceList& services);
   // For callers without keys: the route tells the contract.
-  RoutingTable(std::shared_ptr<const RouteBook> book,
+  RoutingTable(std::shared_ptr<const RouteTable> book,
                std::vector<ServiceSpec> services);
 
   // Null where no contract has this key.
@@ -37,7 +37,7 @@
   // Null where it is not published.
   const ServiceSpec* FindServiceById(const ServiceId& id) const;
   // Null without routes.
-  const std::shared_ptr<const RouteBook>& book() const { return book_; }
+  const std::shared_ptr<const RouteTable>& book() const { return book_; }
 
   const std::vector<Contract>& contracts() const { return contracts_; }
   const std::vector<ServiceSpec>& services() const { return services_; }
@@ -47,7 +47,7 @@
   // Longest prefix first.
   std::vector<ServiceSpec> services_;
   std::unordered_map<std::string, std::size_t> contract_by_digest_;
-  std::shared_ptr<const RouteBook> book_;
+  std::shared_ptr<const RouteTable> book_;
   // By host in lower case, longest prefix first.
   std::unordered_map<std::string, std::vector<const Route*>> routes_by_host_;
   std::unordered_map<ServiceId, std::size_t> service_by_id_;
--- a/proxy/service_dispatcher.cc
+++ b/proxy/service_dispatcher.cc
@@ -25,9 +25,9 @@
   balancer_->SetService(service, hosts, now);
 }
 
-void ServiceDispatcher::SetSeat(const FleetSeat& seat) {
+void ServiceDispatcher::SetHostNumber(const HostNumber& seat) {
   const std::lock_guard lock(mutex_);
-  balancer_->SetSeat(seat);
+  balancer_->SetHostNumber(seat);
 }
 
 void ServiceDispatcher::Offer(const CallOffer& offer,
@@ -150,7 +150,7 @@
 
 void ServiceDispatcher::HearRate(const StatedRate& stated) {
   const std::lock_guard lock(mutex_);
-  balancer_->HearRateLimit(stated.endpoint, stated.rate_limit, stated.at);
+  balancer_->OnPeerRateLimit(stated.endpoint, stated.rate_limit, stated.at);
 }
 
 void ServiceDispatcher::ProbeFailed(EndpointIndex endpoint,
@@ -168,9 +168,9 @@
   Tell(placed, waiting);
 }
 
-void ServiceDispatcher::HearDrain(const EndpointId& endpoint, TimePoint now) {
+void ServiceDispatcher::OnPeerDrain(const EndpointId& endpoint, TimePoint now) {
   const std::lock_guard lock(mutex_);
-  balancer_->HearDrain(endpoint, now);
+  balancer_->OnPeerDrain(endpoint, now);
 }
 
 std::set<EndpointId> ServiceDispatcher::TakeDrainSightings() {
--- a/proxy/service_dispatcher.h
+++ b/proxy/service_dispatcher.h
@@ -60,8 +60,8 @@
                     EndpointRates& rates,
                     std::function<void()> on_waiting);
 
-  // See Balancer::SetSeat.
-  void SetSeat(const FleetSeat& seat);
+  // See Balancer::SetHostNumber.
+  void SetHostNumber(const HostNumber& seat);
   void SetService(const ServiceSpec& service,
                   std::int64_t hosts,
                   TimePoint now);
@@ -91,14 +91,14 @@
   // Another host was told of an endpoint's rate limit.
   void HearRate(const StatedRate& stated);
   // Another host has seen the endpoint drain.
-  void HearDrain(const EndpointId& endpoint, TimePoint now);
+  void OnPeerDrain(const EndpointId& endpoint, TimePoint now);
   // Endpoints that told this host itself that they drain, since the last call.
   // What was only heard is not among them, so that hosts do not keep a mistake
   // alive between them.
   std::set<EndpointId> TakeDrainSightings();
   // Whether calls wait afterwards.
   bool Tick(TimePoint now);
-  bool probes_while_quiet() const { return balancer_->probes_while_quiet(); }
+  bool probes_while_idle() const { return balancer_->probes_while_idle(); }
   std::optional<ProbeOrder> NextProbe(TimePoint now);
   BalancerStatus Status(TimePoint now) const;
 
--- a/standin/load_emulator.cc
+++ b/standin/load_emulator.cc
@@ -61,7 +61,7 @@
     hosts_[n].balancer = factory(static_cast<int>(n), seed * 1000 + n);
     if (hosts_[n].balancer) {
       if (load.have_seats) {
-        hosts_[n].balancer->SetSeat(SeatOf(n));
+        hosts_[n].balancer->SetHostNumber(SeatOf(n));
       }
       hosts_[n].balancer->SetService(
           MakeSpec(service_.cold_from > Duration::zero()), believed_hosts_,
@@ -70,7 +70,7 @@
   }
 }
 
-FleetSeat LoadEmulator::SeatOf(std::size_t host) const {
+HostNumber LoadEmulator::SeatOf(std::size_t host) const {
   const auto number = static_cast<std::int64_t>(host);
   return {number % believed_hosts_, believed_hosts_};
 }
--- a/standin/load_emulator.h
+++ b/standin/load_emulator.h
@@ -197,7 +197,7 @@
   Duration Way(const Host& host, const Server& server) const;
   Duration DrawLateness();
   ServiceSpec MakeSpec(bool is_drained) const;
-  FleetSeat SeatOf(std::size_t host) const;
+  HostNumber SeatOf(std::size_t host) const;
   bool IsOfColdPart(std::size_t server) const;
   void GiveBack();
 
--- a/tests/contract/test_contract_check.cc
+++ b/tests/contract/test_contract_check.cc
@@ -27,7 +27,7 @@
 
 std::optional<Error> ParseError(DocumentName name, const std::string& body) {
   const Document document = MakeDocument(name, body);
-  return FaultOf([&]() -> leaf::result<void> {
+  return CaptureError([&]() -> leaf::result<void> {
     switch (name) {
       case DocumentName::kContracts:
         BOOST_LEAF_CHECK(ParseContracts(document));
@@ -150,7 +150,7 @@
   for (const char* it : {"alentejo", "cuyo"}) {
     CAPTURE(it);
     const std::string folder = SourcePath("examples/") + it + "/";
-    const auto error = FaultOf([&]() -> leaf::result<void> {
+    const auto error = CaptureError([&]() -> leaf::result<void> {
       BOOST_LEAF_AUTO(contracts, ParseContracts(MakeDocument(
                                      DocumentName::kContracts,
                                      ReadFile(folder + "contracts.json"))));
@@ -167,12 +167,12 @@
 }
 
 TEST_CASE("a reference to an unpublished service is detected") {
-  const auto error = FaultOf([&]() -> leaf::result<void> {
+  const auto error = CaptureError([&]() -> leaf::result<void> {
     BOOST_LEAF_AUTO(contracts,
                     ParseContracts(MakeDocument(DocumentName::kContracts,
                                                 R"({"contracts": [
       {"customer": "a", "requests": [{"service": "s"}]}]})")));
-    return CheckReferences(contracts, ServiceBook{});
+    return CheckReferences(contracts, ServiceList{});
   });
   REQUIRE(error);
   CHECK(error->kind == ErrorKind::kUnknownReference);
--- a/tests/contract/test_route.cc
+++ b/tests/contract/test_route.cc
@@ -17,7 +17,7 @@
 }
 
 // Reference implementation: compares each route with every other one.
-Urgency ReferenceUrgency(const RouteBook& table,
+Urgency ReferenceUrgency(const RouteTable& table,
                          const std::vector<std::int64_t>& ranks,
                          std::size_t route) {
   std::set<std::int64_t> higher_ranks;
@@ -32,7 +32,7 @@
 
 TEST_CASE("urgencies agree with a comparison of every pair of routes") {
   CHECK(rc::check([] {
-    RouteBook table;
+    RouteTable table;
     std::vector<std::int64_t> ranks;
     const int routes = *rc::gen::inRange(0, 12);
     for (int n = 0; n < routes; ++n) {
@@ -45,7 +45,7 @@
       table.routes.push_back(std::move(route));
       ranks.push_back(*rc::gen::inRange<std::int64_t>(0, 5));
     }
-    RankByService(table, ranks);
+    AssignUrgencies(table, ranks);
     for (std::size_t n = 0; n < table.routes.size(); ++n) {
       RC_ASSERT(table.routes[n].urgency == ReferenceUrgency(table, ranks, n));
     }
--- a/tests/contract/test_route_book_change.cc
+++ b/tests/contract/test_route_table_delta.cc
@@ -1,4 +1,4 @@
-#include "contract/route_book_change.h"
+#include "contract/route_table_delta.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -18,15 +18,15 @@
   return route;
 }
 
-RouteBook SortedByKey(RouteBook table) {
+RouteTable SortedByKey(RouteTable table) {
   std::ranges::sort(table.routes, [](const Route& a, const Route& b) {
     return std::tie(a.host, a.prefix) < std::tie(b.host, b.prefix);
   });
   return table;
 }
 
-RouteBook GenerateRouteTable(std::uint64_t version) {
-  RouteBook table;
+RouteTable GenerateRouteTable(std::uint64_t version) {
+  RouteTable table;
   table.version = version;
   table.services = {{ServiceId("s"), "/health", 250}};
   for (int n = 0; n < 9; ++n) {
@@ -40,23 +40,23 @@
 
 TEST_CASE("applying the delta between two route tables yields the second one") {
   CHECK(rc::check([] {
-    const RouteBook base = GenerateRouteTable(3);
-    const RouteBook table = GenerateRouteTable(8);
-    const RouteBookChange delta = CompareBooks(base, table);
+    const RouteTable base = GenerateRouteTable(3);
+    const RouteTable table = GenerateRouteTable(8);
+    const RouteTableDelta delta = DiffRouteTables(base, table);
     RC_ASSERT(ApplyChange(base, delta) == SortedByKey(table));
   }));
 }
 
 TEST_CASE("a delta contains only the routes that differ") {
-  RouteBook base;
+  RouteTable base;
   for (int n = 0; n < 50; ++n) {
     base.routes.push_back(MakeRoute(n, 100));
   }
-  RouteBook table = base;
+  RouteTable table = base;
   table.version = 2;
   table.routes[7].timeout = std::chrono::milliseconds(200);
   table.routes.erase(table.routes.begin());
-  const RouteBookChange delta = CompareBooks(base, table);
+  const RouteTableDelta delta = DiffRouteTables(base, table);
   REQUIRE(delta.changed.size() == 1);
   CHECK(delta.changed[0] == MakeRoute(7, 200));
   REQUIRE(delta.removed.size() == 1);
--- a/tests/contract/test_schema.cc
+++ b/tests/contract/test_schema.cc
@@ -32,7 +32,7 @@
 
 std::optional<Error> ParseError(const Level& level, const Json& document) {
   const Document text{level.name, 1, document.dump()};
-  return FaultOf([&]() -> leaf::result<void> {
+  return CaptureError([&]() -> leaf::result<void> {
     switch (level.name) {
       case DocumentName::kContracts:
         BOOST_LEAF_CHECK(ParseContracts(text));
--- a/tests/core/test_column_table.cc
+++ b/tests/core/test_column_table.cc
@@ -6,7 +6,7 @@
 namespace {
 
 std::optional<Error> OpenError(const Json& json) {
-  return FaultOf([&]() -> leaf::result<void> {
+  return CaptureError([&]() -> leaf::result<void> {
     BOOST_LEAF_CHECK(ColumnTable::Open(json, "table"));
     return {};
   });
@@ -17,7 +17,7 @@
       {"name", "size"},
       Json::array({Json::array({"a", 1}), Json::array({"b", nullptr})}));
   std::vector<Json> rows;
-  const auto error = FaultOf([&]() -> leaf::result<void> {
+  const auto error = CaptureError([&]() -> leaf::result<void> {
     BOOST_LEAF_AUTO(table, ColumnTable::Open(json, "table"));
     for (std::size_t n = 0; n < table.size(); ++n) {
       rows.push_back(table.Row(n));
--- a/tests/core/test_state_chart.cc
+++ b/tests/core/test_state_chart.cc
@@ -41,7 +41,7 @@
 
 void CheckInvalid(const std::string& text, const std::string& found) {
   const Error error = ErrorOf(text);
-  CHECK(error.kind == ErrorKind::kUnsoundChart);
+  CHECK(error.kind == ErrorKind::kInvalidChart);
   CHECK_MESSAGE(error.found.find(found) != std::string::npos, error);
   CHECK(error.remedy != "");
 }
@@ -101,7 +101,7 @@
   const std::string ajar = head + R"("states": ["open", "ajar"],
       "final": ["ajar"], "events": ["close"],
       "transitions": [{"from": "open", "event": "close", "to": "ajar"}]})";
-  CHECK(bind(ajar).kind == ErrorKind::kUnsoundChart);
+  CHECK(bind(ajar).kind == ErrorKind::kInvalidChart);
 }
 
 }  // namespace
--- a/tests/core/test_tcp_liveness.cc
+++ b/tests/core/test_tcp_liveness.cc
@@ -21,7 +21,7 @@
 TEST_CASE("lost connection detection sets the options of the kernel") {
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
   REQUIRE(fd >= 0);
-  EndLostConnection(fd, std::chrono::milliseconds(700));
+  EnableLostConnectionDetection(fd, std::chrono::milliseconds(700));
   CHECK(Option(fd, SOL_SOCKET, SO_KEEPALIVE) == 1);
   CHECK(Option(fd, IPPROTO_TCP, TCP_KEEPIDLE) == 1);
   CHECK(Option(fd, IPPROTO_TCP, TCP_KEEPINTVL) == 1);
--- a/tests/fleet/crash_star.h
+++ b/tests/fleet/crash_star.h
@@ -104,7 +104,7 @@
     const bool is_seed = peer.text().starts_with("s");
     Outbox out;
     hosts_.at(host)->exchange.OnPeer(
-        peer, is_seed ? CrashListener::kSeed : CrashListener::kFollower, now_,
+        peer, is_seed ? CrashPeerRole::kSeed : CrashPeerRole::kFollower, now_,
         out);
     Send(host, out);
   }
--- a/tests/fleet/feed_world.h
+++ b/tests/fleet/feed_simulation.h
@@ -1,5 +1,5 @@
-#ifndef TESTS_FLEET_FEED_WORLD_H_
-#define TESTS_FLEET_FEED_WORLD_H_
+#ifndef TESTS_FLEET_FEED_SIMULATION_H_
+#define TESTS_FLEET_FEED_SIMULATION_H_
 
 #include <algorithm>
 #include <cstddef>
@@ -20,7 +20,7 @@
 // A store and hosts that feed each other, in memory and in steps of ten
 // milliseconds. A store call is answered in the step it is made in, a message
 // arrives in the next one.
-class FeedWorld {
+class FeedSimulation {
  public:
   static constexpr Duration kStep = std::chrono::milliseconds(10);
   // For which an endpoint is cold once it is published.
@@ -42,7 +42,7 @@
   };
 
   // With `early_read` hosts read any copy of the store when they start.
-  FeedWorld(
+  FeedSimulation(
       int hosts,
       int seeds,
       bool early_read = false,
@@ -394,11 +394,12 @@
   bool PassThroughCodec(PeerMessage& message) {
     const std::string frame = EncodePeerMessage(message);
     largest_frame_ = std::max(largest_frame_, frame.size());
-    const std::optional<Error> fault = FaultOf([&]() -> leaf::result<void> {
-      BOOST_LEAF_AUTO(decoded, DecodePeerMessage(frame));
-      message = std::move(*decoded);
-      return {};
-    });
+    const std::optional<Error> fault =
+        CaptureError([&]() -> leaf::result<void> {
+          BOOST_LEAF_AUTO(decoded, DecodePeerMessage(frame));
+          message = std::move(*decoded);
+          return {};
+        });
     frames_refused_ += fault ? 1 : 0;
     return !fault;
   }
@@ -412,7 +413,7 @@
       return;
     }
     for (const PublishedItem& it : update->changes.items) {
-      books_sent_ += std::holds_alternative<RouteBook>(it.value) ? 1 : 0;
+      books_sent_ += std::holds_alternative<RouteTable>(it.value) ? 1 : 0;
       entries_sent_ += std::holds_alternative<PublishedEndpoint>(it.value);
     }
   }
@@ -435,8 +436,8 @@
   TimePoint now_{std::chrono::hours(1)};
   std::map<std::string, Host> hosts_;
   std::deque<Frame> frames_;
-  RouteBook book_;
-  std::map<std::uint64_t, RouteBook> books_;
+  RouteTable book_;
+  std::map<std::uint64_t, RouteTable> books_;
   std::uint64_t books_sent_ = 0;
   std::uint64_t entries_sent_ = 0;
   Revision book_revision_ = 0;
@@ -450,4 +451,4 @@
 
 }  // namespace damasktack
 
-#endif  // TESTS_FLEET_FEED_WORLD_H_
+#endif  // TESTS_FLEET_FEED_SIMULATION_H_
--- a/tests/fleet/test_claim_exchange.cc
+++ b/tests/fleet/test_claim_exchange.cc
@@ -6,7 +6,7 @@
 #include <map>
 #include <set>
 
-#include "fleet/limit_ledger.h"
+#include "fleet/limit_allocator.h"
 #include "tests/fleet/fake_fleet.h"
 
 namespace damasktack {
@@ -57,7 +57,7 @@
     return options;
   }
 
-  LimitLedger ledger_;
+  LimitAllocator ledger_;
   ClaimExchange claims_;
 };
 
@@ -132,7 +132,7 @@
         if (!fleet_.Alive(it)) {
           continue;
         }
-        const auto held = fleet_.At(it).claims().keeper().HeldUnder(bucket);
+        const auto held = fleet_.At(it).claims().keeper().HeldBallot(bucket);
         if (held && newest < *held) {
           newest = *held;
           others = false;
@@ -391,8 +391,9 @@
   // What was promised to the takeover is still held: a planned stop of this
   // host must wait, or both copies could be gone before the next keepers have
   // theirs.
-  const ClaimKeeperStatus waiting = fleet.At(2).claims().Status().keeper;
-  CHECK(waiting.first_of + waiting.second_of < Options().buckets);
+  const ClaimReplicaStatus waiting = fleet.At(2).claims().Status().keeper;
+  CHECK(waiting.primary_buckets + waiting.secondary_buckets <
+        Options().buckets);
   CHECK(waiting.holds == Options().buckets);
   fleet.Cut(0, 2, false);
   trial.Advance(seconds(1));
--- a/tests/fleet/test_claim_messages.cc
+++ b/tests/fleet/test_claim_messages.cc
@@ -8,7 +8,7 @@
 
 TEST_CASE("claim messages come back as they were sent") {
   const ClaimBallot ballot{~std::uint64_t{0}, HostId("h1"), 7};
-  const ClaimKeepers keepers{255, ballot, HostId("h1"), HostId("h2")};
+  const ClaimReplicas keepers{255, ballot, HostId("h1"), HostId("h2")};
   // A key and a body may hold bytes that are no UTF-8.
   const ClaimRecord record{CustomerId("parks"),
                            "key-\xff",
@@ -19,13 +19,13 @@
                            KeptAnswer{200, "", "\xff body"}};
   const std::vector<PeerMessage> sent{
       keepers,
-      TakeoverAsk{3, ballot},
-      TakeoverAnswer{3, ballot, {}, ballot, true, {record}},
-      KeeperInstall{keepers, {record}},
-      KeeperInstalled{3, ballot},
-      ClaimAsk{3, {}, record},
-      ClaimAnswer{3, ballot, CustomerId("parks"), "key", 9,
-                  ClaimVerdict::kAlreadyRan, record.answer, keepers},
+      TakeoverRequest{3, ballot},
+      TakeoverReply{3, ballot, {}, ballot, true, {record}},
+      ReplicaInstall{keepers, {record}},
+      ReplicaInstalled{3, ballot},
+      GrantRequest{3, {}, record},
+      GrantReply{3, ballot, CustomerId("parks"), "key", 9,
+                 ClaimVerdict::kAlreadyRan, record.answer, keepers},
       ClaimSettle{3, ballot, record},
       ClaimSettled{ballot, 9, true, keepers}};
   for (const PeerMessage& it : sent) {
--- a/tests/fleet/test_crash_exchange.cc
+++ b/tests/fleet/test_crash_exchange.cc
@@ -132,9 +132,9 @@
     checks += quarantine.OnBroken({request, Endpoint(n), kNow}) ? 1 : 0;
     quarantine.OnEndpointEnded(Endpoint(n));
   }
-  CHECK(checks <= static_cast<int>(RequestQuarantine::kChecksAtOnce));
-  CHECK(quarantine.TakeNews().sightings.size() <=
-        static_cast<std::size_t>(RequestQuarantine::kChecksAtOnce));
+  CHECK(checks <= static_cast<int>(RequestQuarantine::kCheckBurst));
+  CHECK(quarantine.TakeUpdates().sightings.size() <=
+        static_cast<std::size_t>(RequestQuarantine::kCheckBurst));
 }
 
 }  // namespace
--- a/tests/fleet/test_drain_sightings.cc
+++ b/tests/fleet/test_drain_observations.cc
@@ -1,4 +1,4 @@
-#include "fleet/drain_sightings.h"
+#include "fleet/drain_observations.h"
 
 #include <doctest/doctest.h>
 
@@ -6,7 +6,7 @@
 namespace {
 
 const TimePoint kNow = TimePoint() + std::chrono::hours(1);
-const DrainSighting kSighting{ServiceId("dispatch"), EndpointId("e1")};
+const DrainObservation kSighting{ServiceId("dispatch"), EndpointId("e1")};
 
 HostView ViewOfTwoPeers() {
   HostView view;
@@ -21,38 +21,38 @@
 // learn it from an answer; one that has not called it for a while would send
 // it new work ten seconds later.
 TEST_CASE("a sighting goes to the reachable peers, once a second") {
-  DrainSightings drains;
+  DrainObservations drains;
   Outbox out;
   drains.OnView(ViewOfTwoPeers(), kNow, out);
-  drains.Sighted(kSighting, kNow, out);
-  drains.Sighted(kSighting, kNow, out);
+  drains.OnObserved(kSighting, kNow, out);
+  drains.OnObserved(kSighting, kNow, out);
   const auto sent = out.Take();
   REQUIRE(sent.size() == 1);
   CHECK(sent[0].to == HostId("h1"));
-  CHECK(std::get<DrainSighting>(sent[0].message) == kSighting);
-  drains.Tick(kNow + DrainSightings::kRepeat, out);
-  drains.Sighted(kSighting, kNow + DrainSightings::kRepeat, out);
+  CHECK(std::get<DrainObservation>(sent[0].message) == kSighting);
+  drains.Tick(kNow + DrainObservations::kRepeat, out);
+  drains.OnObserved(kSighting, kNow + DrainObservations::kRepeat, out);
   CHECK(out.Take().size() == 1);
 }
 
 TEST_CASE("what was heard is told once and not passed on") {
-  DrainSightings drains;
+  DrainObservations drains;
   Outbox out;
   drains.OnView(ViewOfTwoPeers(), kNow, out);
   drains.OnMessage({HostId("h1"), 1}, kSighting, kNow, out);
-  CHECK(drains.TakeHeard() == std::set<DrainSighting>{kSighting});
-  CHECK(drains.TakeHeard().empty());
+  CHECK(drains.TakeReceived() == std::set<DrainObservation>{kSighting});
+  CHECK(drains.TakeReceived().empty());
   CHECK(out.Take().empty());
 }
 
 TEST_CASE("what is remembered is bounded") {
-  DrainSightings drains;
+  DrainObservations drains;
   Outbox out;
-  for (std::size_t n = 0; n < 2 * DrainSightings::kMost; ++n) {
-    const DrainSighting each{ServiceId("s"), EndpointId(std::to_string(n))};
+  for (std::size_t n = 0; n < 2 * DrainObservations::kMost; ++n) {
+    const DrainObservation each{ServiceId("s"), EndpointId(std::to_string(n))};
     drains.OnMessage({HostId("h1"), 1}, each, kNow, out);
   }
-  CHECK(drains.TakeHeard().size() == DrainSightings::kMost);
+  CHECK(drains.TakeReceived().size() == DrainObservations::kMost);
 }
 
 }  // namespace
--- a/tests/fleet/test_drained_zones.cc
+++ b/tests/fleet/test_drained_zones.cc
@@ -29,11 +29,11 @@
 // after the word that it is so no more.
 TEST_CASE("older word of a drain changes nothing") {
   PublishedView view;
-  view.TakeChanges(Drain(5, true), false, kStart);
-  view.TakeAll({{}, 4}, false, kStart);
+  view.ApplyChanges(Drain(5, true), false, kStart);
+  view.ApplyFullRead({{}, 4}, false, kStart);
   CHECK(InForce(view) == kZone);
-  view.TakeChanges(Drain(7, false), false, kStart);
-  view.TakeAll(Drain(5, true), false, kStart);
+  view.ApplyChanges(Drain(7, false), false, kStart);
+  view.ApplyFullRead(Drain(5, true), false, kStart);
   CHECK(InForce(view) == kNone);
 }
 
@@ -41,9 +41,9 @@
 // the drain ended, and a whole read only shows that it is not there.
 TEST_CASE("a whole read without a drain ends it, also after an outage") {
   PublishedView view;
-  view.TakeAll(Drain(5, true), false, kStart);
+  view.ApplyFullRead(Drain(5, true), false, kStart);
   CHECK(view.TakeChanged());
-  view.TakeAll({{}, 9}, true, kStart);
+  view.ApplyFullRead({{}, 9}, true, kStart);
   CHECK(InForce(view) == kNone);
   CHECK(view.TakeChanged());
 }
@@ -51,26 +51,26 @@
 // The same for a host whose feeder began to read after the drain had ended.
 TEST_CASE("an update of a feeder that began later names all drains") {
   PublishedView feeder;
-  feeder.TakeAll(Drain(5, true), false, kStart);
+  feeder.ApplyFullRead(Drain(5, true), false, kStart);
   PublishedItems update = feeder.ChangesAfter(6, kStart);
   CHECK(update.items.empty());
   feeder.drained_zones().AddInForceUpTo(6, update);
   update.current = 8;
   PublishedView follower;
-  follower.TakeChanges(Drain(5, true), false, kStart);
-  follower.TakeChanges({{{6, ZoneDrain{ZoneId("gone"), true}}}, 6}, false,
-                       kStart);
+  follower.ApplyChanges(Drain(5, true), false, kStart);
+  follower.ApplyChanges({{{6, ZoneDrain{ZoneId("gone"), true}}}, 6}, false,
+                        kStart);
   const std::vector<EndpointId> present;
-  follower.TakePart({}, update, &present, false, kStart);
+  follower.ApplyPart({}, update, &present, false, kStart);
   CHECK(InForce(follower) == kZone);
 }
 
 TEST_CASE("names that somebody writes without end do not fill the memory") {
   DrainedZones zones;
-  for (std::size_t n = 0; n < 2 * DrainedZones::kMostZones; ++n) {
+  for (std::size_t n = 0; n < 2 * DrainedZones::kMaxZones; ++n) {
     zones.Take({ZoneId("z" + std::to_string(n)), true}, n + 1);
   }
-  CHECK(zones.InForce().size() == DrainedZones::kMostZones);
+  CHECK(zones.InForce().size() == DrainedZones::kMaxZones);
 }
 
 }  // namespace
--- a/tests/fleet/test_endpoint_rate_exchange.cc
+++ b/tests/fleet/test_endpoint_rate_exchange.cc
@@ -23,7 +23,7 @@
 // Hosts that are linked to three seeds in turn, or all to each other.
 class RateFleet {
  public:
-  RateFleet(FleetShape shape, int hosts) : shape_(shape) {
+  RateFleet(FleetTopology shape, int hosts) : shape_(shape) {
     for (int n = 0; n < hosts; ++n) {
       Start(n);
     }
@@ -72,8 +72,8 @@
   static constexpr int kSeeds = 3;
 
   struct Host {
-    explicit Host(FleetShape shape) : exchange(rates, shape) {
-      rates.SetOnNews([this] { is_due = true; });
+    explicit Host(FleetTopology shape) : exchange(rates, shape) {
+      rates.SetOnUpdates([this] { is_due = true; });
     }
     EndpointRates rates;
     EndpointRateExchange exchange;
@@ -89,7 +89,8 @@
   bool IsLinked(int a, int b) const {
     const int low = std::min(a, b);
     const int high = std::max(a, b);
-    return shape_ == FleetShape::kMesh || high < kSeeds || low == high % kSeeds;
+    return shape_ == FleetTopology::kMesh || high < kSeeds ||
+           low == high % kSeeds;
   }
   void Meet(const HostId& host, const HostId& peer) {
     Outbox out;
@@ -115,7 +116,7 @@
     }
   }
 
-  const FleetShape shape_;
+  const FleetTopology shape_;
   TimePoint now_ = TimePoint() + std::chrono::hours(10);
   std::map<HostId, std::unique_ptr<Host>> hosts_;
   std::deque<Frame> queue_;
@@ -128,7 +129,8 @@
 // Guards against an endpoint in need that has to tell each host of a large
 // fleet by itself, one request each.
 TEST_CASE("all hosts learn of a limit that an endpoint has told one") {
-  for (const FleetShape shape : {FleetShape::kMesh, FleetShape::kStar}) {
+  for (const FleetTopology shape :
+       {FleetTopology::kMesh, FleetTopology::kStar}) {
     RateFleet fleet(shape, kHosts);
     fleet.State(kHosts - 1, 1.5);
     CHECK(fleet.CountThatKnow(1.5) == kHosts);
@@ -140,7 +142,8 @@
 }
 
 TEST_CASE("a host that starts hears which limits are in force") {
-  for (const FleetShape shape : {FleetShape::kMesh, FleetShape::kStar}) {
+  for (const FleetTopology shape :
+       {FleetTopology::kMesh, FleetTopology::kStar}) {
     RateFleet fleet(shape, kHosts);
     fleet.State(4, 1.5);
     fleet.Start(17);
@@ -161,7 +164,7 @@
 }
 
 TEST_CASE("a change costs a star of hosts a few frames each") {
-  RateFleet fleet(FleetShape::kStar, 500);
+  RateFleet fleet(FleetTopology::kStar, 500);
   const int before = fleet.frames();
   const std::size_t bytes_before = fleet.bytes();
   fleet.State(333, 1.5);
@@ -174,7 +177,7 @@
 // Guards against messages without bound for an endpoint that states a limit and
 // takes it back by turns.
 TEST_CASE("an endpoint that changes its mind all the time costs few messages") {
-  RateFleet fleet(FleetShape::kStar, kHosts);
+  RateFleet fleet(FleetTopology::kStar, kHosts);
   const int before = fleet.frames();
   constexpr int kChanges = 1000;
   for (int n = 0; n < kChanges; ++n) {
--- a/tests/fleet/test_feed_parts.cc
+++ b/tests/fleet/test_feed_parts.cc
@@ -16,7 +16,7 @@
 TEST_CASE("a host learns of all endpoints, however many there are") {
   for (const std::size_t endpoints : {7'000UL, 12'000UL, 50'000UL}) {
     CAPTURE(endpoints);
-    FeedWorld world(3, 1);
+    FeedSimulation world(3, 1);
     world.UseCodec();
     world.Kill("h2");
     for (std::size_t n = 0; n < endpoints; ++n) {
@@ -39,7 +39,7 @@
 // Guards against transfers that begin anew with each change and never end.
 TEST_CASE("a list arrives in parts while endpoints come and go") {
   constexpr int kEndpoints = 400;
-  FeedWorld world(3, 1, false, 10);
+  FeedSimulation world(3, 1, false, 10);
   world.Kill("h2");
   for (int n = 0; n < kEndpoints; ++n) {
     world.AddEndpoint("e" + std::to_string(n));
@@ -50,9 +50,9 @@
   for (int n = 0; n < kEndpoints / 2; ++n) {
     world.RemoveEndpoint("e" + std::to_string(n));
     world.AddEndpoint("f" + std::to_string(n));
-    world.Run(FeedWorld::kStep);
+    world.Run(FeedSimulation::kStep);
   }
-  const FeedWorld::Host& host = world.hosts().at("h2");
+  const FeedSimulation::Host& host = world.hosts().at("h2");
   CHECK(world.VersionOf(host) == 1);
   world.Run(seconds(2));
   CHECK(world.Overdue(host, Duration::zero()).empty());
@@ -62,7 +62,7 @@
 // Guards against a follower that was frozen for the length of a transfer and
 // goes on by half of a list.
 TEST_CASE("a host that freezes between two parts has the whole list later") {
-  FeedWorld world(3, 1, false, 10);
+  FeedSimulation world(3, 1, false, 10);
   world.Kill("h2");
   for (int n = 0; n < 400; ++n) {
     world.AddEndpoint("e" + std::to_string(n));
@@ -70,14 +70,14 @@
   world.Run(seconds(4));
   world.Start("h2");
   world.CutFromStore("h2", true);
-  world.Run(FeedWorld::kStep * 20);
+  world.Run(FeedSimulation::kStep * 20);
   world.Freeze("h2", true);
   world.RemoveEndpoint("e0");
   world.RemoveEndpoint("e399");
   world.Run(seconds(8));
   world.Freeze("h2", false);
   world.Run(seconds(4));
-  const FeedWorld::Host& host = world.hosts().at("h2");
+  const FeedSimulation::Host& host = world.hosts().at("h2");
   CHECK(world.Overdue(host, Duration::zero()).empty());
   CHECK(world.Lacking(host, Duration::zero()).empty());
 }
--- a/tests/fleet/test_fleet_core.cc
+++ b/tests/fleet/test_fleet_core.cc
@@ -47,8 +47,9 @@
 
 void AskPlatform(MemoryNetwork& network, std::size_t n) {
   for (std::size_t k = 0; k < kDocumentCount; ++k) {
-    network.at(n).PlatformAsked(static_cast<DocumentName>(k),
-                                network.at(n).check_number(), network.now());
+    network.at(n).OnPlatformQueried(static_cast<DocumentName>(k),
+                                    network.at(n).check_number(),
+                                    network.now());
   }
 }
 
@@ -116,8 +117,8 @@
   network.at(0).OnLateWake(network.now());
   CHECK_FALSE(network.at(0).ready());
   // An answer to a question from before the pause does not count.
-  network.at(0).PlatformAsked(DocumentName::kContracts, old_check,
-                              network.now());
+  network.at(0).OnPlatformQueried(DocumentName::kContracts, old_check,
+                                  network.now());
   network.Run(seconds(3));
   CHECK_FALSE(network.at(0).ready());
   AskPlatform(network, 0);
@@ -193,10 +194,10 @@
   CHECK(seen().incarnation == 2);
   CHECK(seen().listed == ListedState::kLive);
   // A late message of the old process is not heard.
-  const auto unheard = network.at(0).counters().messages_unheard;
+  const auto unheard = network.at(0).counters().messages_unknown_sender;
   network.at(0).OnFrame({HostId("h1"), 1}, EncodePeerMessage(Goodbye{}),
                         network.now());
-  CHECK(network.at(0).counters().messages_unheard == unheard + 1);
+  CHECK(network.at(0).counters().messages_unknown_sender == unheard + 1);
   CHECK(seen().reachable);
 }
 
--- a/tests/fleet/test_fleet_limit_gate.cc
+++ b/tests/fleet/test_fleet_limit_gate.cc
@@ -19,7 +19,7 @@
   FleetLimitGate gate(HostId("h0"), 1, {});
   const Contract contract = MakeContract(2);
   CHECK_FALSE(gate.Enter(contract, {}).admitted);
-  gate.SetAlone();
+  gate.SetStandalone();
   gate.SetContracts({contract});
   CHECK(gate.Enter(contract, {}).admitted);
   CHECK(gate.Enter(contract, {}).admitted);
@@ -47,8 +47,8 @@
   gate.Tick(clock, out);
   LendGrant grant;
   for (const Outbox::Item& it : out.Take()) {
-    if (const auto* ask = std::get_if<LendAsk>(&it.message)) {
-      const LendAskItem& item = ask->items.front();
+    if (const auto* ask = std::get_if<LendRequest>(&it.message)) {
+      const LendRequestItem& item = ask->items.front();
       grant.items.push_back({item.lease, 0, item.customer, item.kind,
                              kLimitUnit, std::chrono::seconds(2),
                              std::chrono::minutes(1)});
--- a/tests/fleet/test_limit_ledger.cc
+++ b/tests/fleet/test_limit_allocator.cc
@@ -1,4 +1,4 @@
-#include "fleet/limit_ledger.h"
+#include "fleet/limit_allocator.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -241,9 +241,9 @@
 // pause, restart, leave or see another list divide the limit differently, or
 // a lent part is used on both sides. Generated schedules of all of these.
 TEST_CASE("the sum of what all hosts admit never passes the limit") {
-  CHECK(NeverPasses<LimitLedger>(MakeContract(0, kInFlight), 0));
-  CHECK(NeverPasses<LimitLedger>(MakeContract(kRate, 0), 1));
-  CHECK(NeverPasses<LimitLedger>(MakeContract(kRate, 2 * kInFlight), 2));
+  CHECK(NeverPasses<LimitAllocator>(MakeContract(0, kInFlight), 0));
+  CHECK(NeverPasses<LimitAllocator>(MakeContract(kRate, 0), 1));
+  CHECK(NeverPasses<LimitAllocator>(MakeContract(kRate, 2 * kInFlight), 2));
 }
 
 // The property must see the fault it is made for: a division by each host's
@@ -260,7 +260,7 @@
 }
 
 TEST_CASE("two of fifteen hosts gather most of a limit within two seconds") {
-  LimitTrial<LimitLedger> trial(15, 7, MakeContract(3000, 0));
+  LimitTrial<LimitAllocator> trial(15, 7, MakeContract(3000, 0));
   for (int n = 0; n < 50; ++n) {
     trial.Advance(milliseconds(10));
   }
@@ -277,7 +277,7 @@
 }
 
 TEST_CASE("a limit smaller than the number of hosts is gathered on one") {
-  LimitTrial<LimitLedger> trial(15, 7, MakeContract(0, 3));
+  LimitTrial<LimitAllocator> trial(15, 7, MakeContract(0, 3));
   for (int n = 0; n < 300; ++n) {
     trial.Call(0, milliseconds(500));
     trial.Advance(milliseconds(10));
@@ -294,7 +294,7 @@
 }
 
 TEST_CASE("a host alone owns the whole limit") {
-  LimitTrial<LimitLedger> trial(1, 7, MakeContract(0, 5));
+  LimitTrial<LimitAllocator> trial(1, 7, MakeContract(0, 5));
   int admitted = 0;
   for (int n = 0; n < 8; ++n) {
     admitted += trial.Call(0, seconds(1)) ? 1 : 0;
@@ -306,7 +306,7 @@
 // A new host that nobody has told of it would divide without it. The others'
 // acknowledgements name it, so the new host owns nothing; it may borrow.
 TEST_CASE("a new host owns nothing while a cut-off host may") {
-  LimitTrial<LimitLedger> trial(4, 3, MakeContract(0, 12));
+  LimitTrial<LimitAllocator> trial(4, 3, MakeContract(0, 12));
   auto& fleet = trial.fleet();
   for (int n = 0; n < 20; ++n) {
     trial.Advance(milliseconds(20));
@@ -344,7 +344,7 @@
 // it is down or cut off and serving, so nobody owns until the list has been
 // without it for the time set.
 TEST_CASE("a host that never came up stops holding a new fleet back") {
-  LimitTrial<LimitLedger> trial(3, 3, MakeContract(0, 6), 1);
+  LimitTrial<LimitAllocator> trial(3, 3, MakeContract(0, 6), 1);
   auto& fleet = trial.fleet();
   for (int n = 0; n < 100; ++n) {
     trial.Advance(seconds(1));
@@ -364,7 +364,7 @@
 }
 
 TEST_CASE("a goodbye gives the part to the others after its leases") {
-  LimitTrial<LimitLedger> trial(3, 3, MakeContract(0, 6));
+  LimitTrial<LimitAllocator> trial(3, 3, MakeContract(0, 6));
   for (int n = 0; n < 20; ++n) {
     trial.Advance(milliseconds(20));
   }
--- a/tests/fleet/test_limit_messages.cc
+++ b/tests/fleet/test_limit_messages.cc
@@ -13,10 +13,10 @@
       std::chrono::minutes(1)};
   const CountedHost host{HostId("h1"), ~std::uint64_t{0}};
   const std::vector<PeerMessage> sent{
-      CountAsk{},
+      CountRequest{},
       CountAck{7, true, {host, {HostId("h2"), 0}}},
       GoneHosts{{host}},
-      LendAsk{{{1, 0, CustomerId("parks"), LimitKind::kRate, 12}}},
+      LendRequest{{{1, 0, CustomerId("parks"), LimitKind::kRate, 12}}},
       LendGrant{{grant}},
       LendReturn{{1, ~std::uint64_t{0}}}};
   for (const PeerMessage& it : sent) {
--- a/tests/fleet/test_peer_codec.cc
+++ b/tests/fleet/test_peer_codec.cc
@@ -48,7 +48,7 @@
       return DocumentPush{Document{
           name, number, *rc::gen::nonEmpty(rc::gen::arbitrary<std::string>())}};
     case 4:
-      return DrainSighting{
+      return DrainObservation{
           ServiceId(*rc::gen::nonEmpty(rc::gen::arbitrary<std::string>())),
           EndpointId("e1")};
     case 5:
@@ -58,9 +58,9 @@
                        4,
                        {*rc::gen::inRange<std::int64_t>(-1, 64), 64}};
     case 6:
-      return FeedSeat{{*rc::gen::inRange<std::int64_t>(0, 64), 64}};
+      return FeedNumberAssignment{{*rc::gen::inRange<std::int64_t>(0, 64), 64}};
     default:
-      return DocumentAsk{name, {number, number / 3}};
+      return DocumentRequest{name, {number, number / 3}};
   }
 }
 
@@ -75,9 +75,9 @@
 
 TEST_CASE("the largest document fits into a frame") {
   const DocumentPush push{Document{DocumentName::kServices, ~Revision{0},
-                                   std::string(kLargestDocument, 'x')}};
+                                   std::string(kMaxDocumentBytes, 'x')}};
   const std::string frame = EncodePeerMessage(push);
-  CHECK(frame.size() <= kLargestPeerFrame);
+  CHECK(frame.size() <= kMaxPeerFrameBytes);
   CHECK(Decode(frame) == Verdict::kMessage);
 }
 
@@ -108,7 +108,7 @@
 // its stack, and with it every call in flight on that host.
 TEST_CASE("nesting does not end the process") {
   for (const char byte : {'\x7f', '\x5f', '\x81', '\x9f', '\xa1', '\xc1'}) {
-    const std::string frame(kLargestDocument, byte);
+    const std::string frame(kMaxDocumentBytes, byte);
     CHECK(Decode(frame) == Verdict::kRefused);
   }
 }
--- a/tests/fleet/test_published_feed.cc
+++ b/tests/fleet/test_published_feed.cc
@@ -23,7 +23,7 @@
 TEST_CASE("all hosts learn a change, and calls do not grow with the fleet") {
   std::uint64_t calls_of_small = 0;
   for (const int hosts : {10, 100}) {
-    FeedWorld world(hosts, 3);
+    FeedSimulation world(hosts, 3);
     world.AddEndpoint("e1");
     world.Run(seconds(5));
     const std::uint64_t before = world.store_calls();
@@ -92,7 +92,7 @@
 // Budgets of the fleet are shared by its size, which nobody publishes. Hosts
 // are lost and come back; the belief follows.
 TEST_CASE("every host learns how many hosts there are") {
-  FeedWorld world(30, 3);
+  FeedSimulation world(30, 3);
   const auto check = [&](std::int64_t hosts) {
     for (const auto& [name, host] : world.hosts()) {
       CAPTURE(name);
@@ -118,7 +118,7 @@
 // reads a store in which the endpoint is not, and what it sends its followers
 // as changes cannot name it.
 TEST_CASE("a feeder that has just started tells of removals it never saw") {
-  FeedWorld world(6, 3);
+  FeedSimulation world(6, 3);
   world.AddEndpoint("e1");
   world.AddEndpoint("e2");
   world.Run(seconds(4));
@@ -138,7 +138,7 @@
 // reset. Its links stay open, so only the age of what it last said tells.
 TEST_CASE("hosts ask the store where their feeder falls silent") {
   for (const bool frozen : {true, false}) {
-    FeedWorld world(8, 3);
+    FeedSimulation world(8, 3);
     world.AddEndpoint("e1");
     world.Run(seconds(4));
     if (frozen) {
@@ -162,7 +162,7 @@
 // the seeds and most other hosts away and serves the rest; each seed has hosts
 // that follow it and that get through, so it hears of the change from them.
 TEST_CASE("hosts that the store serves read for seeds that it turns away") {
-  FeedWorld world(40, 3);
+  FeedSimulation world(40, 3);
   world.AddEndpoint("e1");
   world.Run(seconds(4));
   for (int n = 0; n < 30; ++n) {
@@ -188,7 +188,7 @@
 TEST_CASE("calls to a store that is away do not grow with the fleet") {
   std::uint64_t calls_of_small = 0;
   for (const int hosts : {30, 300}) {
-    FeedWorld world(hosts, 3);
+    FeedSimulation world(hosts, 3);
     world.Run(seconds(4));
     for (const auto& [name, host] : world.hosts()) {
       world.CutFromStore(name, true);
@@ -216,7 +216,7 @@
 // had been told to wait, and by that word they would wait for most of a minute
 // after the store is back.
 TEST_CASE("hosts ask again by themselves where their seeds are lost") {
-  FeedWorld world(100, 3);
+  FeedSimulation world(100, 3);
   world.Run(seconds(4));
   for (const auto& [name, host] : world.hosts()) {
     world.CutFromStore(name, true);
@@ -243,12 +243,12 @@
 // one, dropped that link as soon as it was fed and dialed it again a second
 // later, on and on; a removal came up to a second late meanwhile.
 TEST_CASE("a host stays with the seed that feeds it") {
-  FeedWorld world(12, 3);
+  FeedSimulation world(12, 3);
   world.Run(seconds(4));
   world.Kill("h0");
   world.Run(seconds(3));
   for (int step = 0; step < 300; ++step) {
-    world.Run(FeedWorld::kStep);
+    world.Run(FeedSimulation::kStep);
     for (const auto& [name, host] : world.hosts()) {
       const bool is_follower = host.is_up && name != "h1" && name != "h2";
       if (!is_follower) {
@@ -267,7 +267,7 @@
 // Nobody is restarted: each host has to turn to the new ones, which have to
 // know that they are seeds now.
 TEST_CASE("hosts follow the seeds that changed settings name") {
-  FeedWorld world(12, 3);
+  FeedSimulation world(12, 3);
   world.Run(seconds(4));
   for (const char* it : {"h0", "h1", "h2"}) {
     world.Kill(it);
@@ -321,7 +321,7 @@
 }
 
 TEST_CASE("a host whose seeds are all away reads the store by itself") {
-  FeedWorld world(5, 3);
+  FeedSimulation world(5, 3);
   world.Run(seconds(3));
   for (const char* it : {"h0", "h1", "h2"}) {
     world.Kill(it);
@@ -344,7 +344,7 @@
 // store for a newer one before a seed can tell them, a large fleet would ask
 // hundreds of times for what two calls bring.
 TEST_CASE("hosts that start with a copy wait for their seeds") {
-  FeedWorld world(10, 3, true);
+  FeedSimulation world(10, 3, true);
   world.AddEndpoint("e1");
   world.Run(seconds(4));
   for (int n = 0; n < 10; ++n) {
@@ -375,7 +375,7 @@
   options.address = {"10.0.0.9", 80};
   options.seeds = {{"10.0.0.1", 80}};
   options.early_read = true;
-  RouteBook book;
+  RouteTable book;
   book.version = 2;
   book.services = {{ServiceId("s"), "/health", 250},
                    {ServiceId("t"), "/health", 250}};
@@ -418,7 +418,7 @@
 // The seeds do not come back. What the copy says is as old as it may be when
 // the host asks the store itself.
 TEST_CASE("a host that starts with a copy has it confirmed in time") {
-  FeedWorld world(5, 3, true);
+  FeedSimulation world(5, 3, true);
   world.AddEndpoint("e1");
   world.Run(seconds(4));
   for (const char* it : {"h0", "h1", "h2", "h4"}) {
@@ -434,7 +434,7 @@
 // started counts down with every heartbeat how long it stays slow, and each of
 // these entries went to each host of the fleet.
 TEST_CASE("a heartbeat that changes nothing stays at the host that reads") {
-  FeedWorld world(10, 3);
+  FeedSimulation world(10, 3);
   world.AddEndpoint("e1");
   world.Run(seconds(4));
   const std::uint64_t before = world.entries_sent();
@@ -450,7 +450,7 @@
 // every entry to each of its hosts, which had them: on a link of 20 Mbit/s that
 // took longer than the hosts wait, and all of them asked the store.
 TEST_CASE("hosts that start with a copy are sent no entries that they have") {
-  FeedWorld world(10, 3, true);
+  FeedSimulation world(10, 3, true);
   for (int n = 0; n < 50; ++n) {
     world.AddEndpoint("e" + std::to_string(n));
   }
@@ -476,7 +476,7 @@
 // A book of many routes changes by one. Sent whole to each host it would take
 // longer than the hosts may wait for it, and they would all ask the store.
 TEST_CASE("a small change of a large book goes out as a change") {
-  FeedWorld world(10, 3);
+  FeedSimulation world(10, 3);
   for (std::uint64_t version = 2; version < 12; ++version) {
     world.SetVersion(version);
     world.Run(milliseconds(300));
@@ -504,12 +504,12 @@
   PublishedFeed feed(options, 1);
   const TimePoint now{std::chrono::hours(1)};
   feed.Next(now);
-  RouteBook book;
+  RouteTable book;
   book.version = 2;
   feed.OnReadAll({{{20, book}}, 20}, now);
   FeedUpdate update;
   update.after = 20;
-  RouteBookChange change;
+  RouteTableDelta change;
   change.base_version = 1;
   change.version = 3;
   update.changes = {{{30, change}}, 30};
@@ -525,8 +525,8 @@
 enum class Disruption : std::uint8_t { kKill, kStart, kFreeze, kCut };
 
 // A freeze or a cut of a host that is in one ends it.
-void Disrupt(FeedWorld& world, const std::string& name, Disruption kind) {
-  const FeedWorld::Host& host = world.hosts().at(name);
+void Disrupt(FeedSimulation& world, const std::string& name, Disruption kind) {
+  const FeedSimulation::Host& host = world.hosts().at(name);
   if (kind == Disruption::kStart) {
     if (!host.is_up) {
       world.Start(name);
@@ -542,7 +542,7 @@
   }
 }
 
-bool IsWell(const FeedWorld& world, const FeedWorld::Host& host) {
+bool IsWell(const FeedSimulation& world, const FeedSimulation::Host& host) {
   return host.is_up && !host.is_frozen && host.reaches_store &&
          world.now() - host.well_since > kWellFor;
 }
@@ -555,7 +555,7 @@
   spdlog::set_level(spdlog::level::off);
   for (const bool early_read : {false, true}) {
     CHECK(rc::check("drains", [&] {
-      FeedWorld world(7, 3, early_read);
+      FeedSimulation world(7, 3, early_read);
       world.AddEndpoint("e0");
       world.Run(seconds(3));
       const int events = *rc::gen::inRange(5, 25);
@@ -569,7 +569,7 @@
         }
         const int steps = *rc::gen::inRange(1, 80);
         for (int step = 0; step < steps; ++step) {
-          world.Run(FeedWorld::kStep);
+          world.Run(FeedSimulation::kStep);
           for (const auto& [name, host] : world.hosts()) {
             RC_ASSERT(!IsWell(world, host) ||
                       world.Mistaken(host, kInForce).empty());
@@ -589,7 +589,7 @@
   CHECK(rc::check("feeds", [] {
     // In parts of one entry, of a few, and whole.
     const auto part_entries = *rc::gen::element<std::size_t>(1, 3, 1000);
-    FeedWorld world(7, 3, false, part_entries);
+    FeedSimulation world(7, 3, false, part_entries);
     for (int n = 0; n < 4; ++n) {
       world.AddEndpoint("e" + std::to_string(n));
     }
@@ -634,7 +634,7 @@
       }
       const int steps = *rc::gen::inRange(1, 80);
       for (int step = 0; step < steps; ++step) {
-        world.Run(FeedWorld::kStep);
+        world.Run(FeedSimulation::kStep);
         for (auto& [name, checked] : world.hosts()) {
           if (IsWell(world, checked)) {
             RC_ASSERT(world.Overdue(checked, kInForce).empty());
@@ -660,7 +660,7 @@
   update.hosts = 17;
   update.age = milliseconds(40);
   update.reader = 99;
-  RouteBook book;
+  RouteTable book;
   book.version = 3;
   Route route;
   route.host = "a.example";
@@ -680,7 +680,7 @@
   endpoint.spec.zone = ZoneId("z");
   endpoint.spec.state = ListedState::kLeaving;
   endpoint.cold_for = milliseconds(900);
-  RouteBookChange change;
+  RouteTableDelta change;
   change.base_version = 3;
   change.version = 4;
   change.changed = book.routes;
@@ -709,8 +709,8 @@
         REQUIRE(read.changes.items.size() == 6);
         CHECK(read.changes.items[4] == update.changes.items[4]);
         CHECK(read.changes.items[5] == update.changes.items[5]);
-        CHECK(std::get<RouteBookChange>(read.changes.items[3].value) == change);
-        CHECK(std::get<RouteBook>(read.changes.items[0].value) == book);
+        CHECK(std::get<RouteTableDelta>(read.changes.items[3].value) == change);
+        CHECK(std::get<RouteTable>(read.changes.items[0].value) == book);
         CHECK(std::get<PublishedEndpoint>(read.changes.items[1].value) ==
               endpoint);
         CHECK(std::get<RemovedEndpoint>(read.changes.items[2].value).id ==
@@ -770,7 +770,7 @@
                            UpdateWith("removed", Json::array({"e", 3})),
                            UpdateWith("endpoints", Json::array({1, 2})),
                            UpdateWith("endpoints", 7)}) {
-    const auto fault = FaultOf([&]() -> leaf::result<void> {
+    const auto fault = CaptureError([&]() -> leaf::result<void> {
       BOOST_LEAF_CHECK(FeedUpdate::Parse(body, "feed-update"));
       return {};
     });
--- a/tests/fleet/test_published_view.cc
+++ b/tests/fleet/test_published_view.cc
@@ -43,12 +43,12 @@
 // process, however late a write of it arrives, and not for the one after it.
 TEST_CASE("an endpoint that left and started again under its id serves") {
   PublishedView view;
-  view.TakeChanges(Single(1, MakeEndpoint(100)), false, kStart);
-  view.TakeChanges(Single(2, MakeEndpoint(100, ListedState::kLeaving)), false,
-                   kStart);
-  view.TakeChanges(Single(3, MakeEndpoint(100)), false, kStart);
+  view.ApplyChanges(Single(1, MakeEndpoint(100)), false, kStart);
+  view.ApplyChanges(Single(2, MakeEndpoint(100, ListedState::kLeaving)), false,
+                    kStart);
+  view.ApplyChanges(Single(3, MakeEndpoint(100)), false, kStart);
   CHECK(InForce(view)->state == ListedState::kLeaving);
-  view.TakeChanges(Single(4, MakeEndpoint(200)), false, kStart);
+  view.ApplyChanges(Single(4, MakeEndpoint(200)), false, kStart);
   REQUIRE(InForce(view)->state == ListedState::kLive);
   CHECK(InForce(view)->started_at == EndpointStart(milliseconds(200)));
 }
@@ -59,13 +59,13 @@
 // until its next heartbeat.
 TEST_CASE("a late entry of the process before does not replace a newer one") {
   PublishedView view;
-  view.TakeChanges(Single(1, MakeEndpoint(200)), false, kStart);
-  view.TakeChanges(Single(2, MakeEndpoint(100, ListedState::kLeaving)), false,
-                   kStart);
+  view.ApplyChanges(Single(1, MakeEndpoint(200)), false, kStart);
+  view.ApplyChanges(Single(2, MakeEndpoint(100, ListedState::kLeaving)), false,
+                    kStart);
   CHECK(InForce(view) == MakeEndpoint(200).spec);
   const TimePoint beat = kStart + milliseconds(1500);
   view.Advance(beat);
-  view.TakeChanges(Single(3, MakeEndpoint(200)), false, beat);
+  view.ApplyChanges(Single(3, MakeEndpoint(200)), false, beat);
   view.Advance(beat + seconds(10));
   CHECK(InForce(view) == MakeEndpoint(200).spec);
   CHECK(!view.NextChange());
@@ -76,12 +76,12 @@
 // than a heartbeat is the process that lives.
 TEST_CASE("a start that looks older counts once nothing has replaced it") {
   PublishedView view;
-  view.TakeChanges(Single(1, MakeEndpoint(900)), false, kStart);
-  view.TakeChanges(Single(2, MakeEndpoint(100)), false, kStart);
+  view.ApplyChanges(Single(1, MakeEndpoint(900)), false, kStart);
+  view.ApplyChanges(Single(2, MakeEndpoint(100)), false, kStart);
   REQUIRE(view.NextChange());
   CHECK(*view.NextChange() == kStart + PublishedView::kEarlierStartGrace);
   // Reading the same entry again does not begin the wait anew.
-  view.TakeAll(Single(2, MakeEndpoint(100)), false, kStart + seconds(1));
+  view.ApplyFullRead(Single(2, MakeEndpoint(100)), false, kStart + seconds(1));
   view.Advance(kStart + PublishedView::kEarlierStartGrace);
   CHECK(InForce(view) == MakeEndpoint(100).spec);
 }
@@ -94,13 +94,13 @@
     "an endpoint that has become cold again is news, a countdown is not") {
   PublishedView view;
   PublishedEndpoint endpoint = MakeEndpoint(100);
-  view.TakeChanges(Single(1, endpoint), false, kStart);
+  view.ApplyChanges(Single(1, endpoint), false, kStart);
   endpoint.cold_for = seconds(3);
-  view.TakeChanges(Single(2, endpoint), false, kStart + seconds(10));
+  view.ApplyChanges(Single(2, endpoint), false, kStart + seconds(10));
   CHECK(InForce(view)->cold_until == kStart + seconds(13));
   CHECK(view.TakeChanged());
   endpoint.cold_for = milliseconds(1600);
-  view.TakeChanges(Single(3, endpoint), false, kStart + milliseconds(11500));
+  view.ApplyChanges(Single(3, endpoint), false, kStart + milliseconds(11500));
   CHECK(!view.TakeChanged());
   CHECK(view.ChangesAfter(2, kStart).items.empty());
   const PublishedItems told = view.ChangesAfter(1, kStart + seconds(12));
@@ -111,10 +111,10 @@
 
 TEST_CASE("a host that is fed waits by itself for an older start") {
   PublishedView feeder;
-  feeder.TakeChanges(Single(1, MakeEndpoint(900)), false, kStart);
-  feeder.TakeChanges(Single(2, MakeEndpoint(100)), false, kStart);
+  feeder.ApplyChanges(Single(1, MakeEndpoint(900)), false, kStart);
+  feeder.ApplyChanges(Single(2, MakeEndpoint(100)), false, kStart);
   PublishedView follower;
-  follower.TakeChanges(feeder.ChangesAfter(0, kStart), false, kStart);
+  follower.ApplyChanges(feeder.ChangesAfter(0, kStart), false, kStart);
   CHECK(InForce(follower) == MakeEndpoint(900).spec);
   follower.Advance(kStart + PublishedView::kEarlierStartGrace);
   CHECK(InForce(follower) == MakeEndpoint(100).spec);
@@ -122,9 +122,9 @@
 
 TEST_CASE("a start that is published after none is another process") {
   PublishedView view;
-  view.TakeChanges(Single(1, MakeEndpoint(0, ListedState::kLeaving)), false,
-                   kStart);
-  view.TakeChanges(Single(2, MakeEndpoint(5)), false, kStart);
+  view.ApplyChanges(Single(1, MakeEndpoint(0, ListedState::kLeaving)), false,
+                    kStart);
+  view.ApplyChanges(Single(2, MakeEndpoint(5)), false, kStart);
   CHECK(InForce(view) == MakeEndpoint(5).spec);
 }
 
@@ -133,33 +133,33 @@
 // nothing to use, so the endpoint gets no new work until it writes again.
 TEST_CASE("an entry that cannot be used ends its endpoint's work at once") {
   PublishedView view;
-  view.TakeChanges(Single(1, MakeEndpoint(100)), false, kStart);
+  view.ApplyChanges(Single(1, MakeEndpoint(100)), false, kStart);
   const UnusableEndpoint foreign{
       EndpointId("e1"), {ErrorKind::kWrongType, "e1", "7", "find the writer"}};
   // Also after an outage: the key is there, so no lease has run out.
-  view.TakeChanges(Single(2, foreign), true, kStart);
+  view.ApplyChanges(Single(2, foreign), true, kStart);
   CHECK(!InForce(view));
   CHECK(view.TakeRefused().size() == 1);
   for (int n = 0; n < 5; ++n) {
-    view.TakeAll(Single(2, foreign), false, kStart);
+    view.ApplyFullRead(Single(2, foreign), false, kStart);
   }
   CHECK(view.TakeRefused().empty());
-  view.TakeChanges(Single(3, MakeEndpoint(100)), false, kStart);
+  view.ApplyChanges(Single(3, MakeEndpoint(100)), false, kStart);
   CHECK(InForce(view) == MakeEndpoint(100).spec);
   // A whole read that is older does not undo it.
-  view.TakeAll(Single(2, foreign), false, kStart);
+  view.ApplyFullRead(Single(2, foreign), false, kStart);
   CHECK(InForce(view) == MakeEndpoint(100).spec);
 }
 
 TEST_CASE("a host that is fed does not use what its feeder cannot") {
   PublishedView feeder;
-  feeder.TakeAll(Single(1, MakeEndpoint(100)), false, kStart);
+  feeder.ApplyFullRead(Single(1, MakeEndpoint(100)), false, kStart);
   PublishedView follower;
-  follower.TakeAll(feeder.ChangesAfter(0, kStart), false, kStart);
+  follower.ApplyFullRead(feeder.ChangesAfter(0, kStart), false, kStart);
   REQUIRE(InForce(follower));
-  feeder.TakeChanges(Single(2, UnusableEndpoint{EndpointId("e1"), {}}), false,
-                     kStart);
-  follower.TakeChanges(feeder.ChangesAfter(1, kStart), false, kStart);
+  feeder.ApplyChanges(Single(2, UnusableEndpoint{EndpointId("e1"), {}}), false,
+                      kStart);
+  follower.ApplyChanges(feeder.ChangesAfter(1, kStart), false, kStart);
   CHECK(!InForce(follower));
 }
 
@@ -170,7 +170,7 @@
   const Json json = update.ToJson();
   const auto parse = [](const Json& it) {
     FeedUpdate parsed;
-    const auto fault = FaultOf([&]() -> leaf::result<void> {
+    const auto fault = CaptureError([&]() -> leaf::result<void> {
       BOOST_LEAF_ASSIGN(parsed, FeedUpdate::Parse(it, "update"));
       return {};
     });
@@ -233,7 +233,7 @@
           static_cast<Revision>(last)};
       const auto before = InForce(view);
       const TimePoint due = view.NextChange().value_or(TimePoint::max());
-      view.TakeChanges(part, false, now);
+      view.ApplyChanges(part, false, now);
       const bool was_gone = std::ranges::any_of(part.items, [](const auto& it) {
         return !std::holds_alternative<PublishedEndpoint>(it.value);
       });
@@ -245,7 +245,7 @@
     const PublishedItems all{history.items, history.items.size()};
     PublishedView fresh;
     for (PublishedView* it : {&view, &fresh}) {
-      it->TakeChanges(all, false, now);
+      it->ApplyChanges(all, false, now);
       it->Advance(now + seconds(5));
     }
     const auto* last =
@@ -272,10 +272,10 @@
   }
   all.current = kEndpoints;
   PublishedView view;
-  view.TakeAll(all, false, kStart);
+  view.ApplyFullRead(all, false, kStart);
   for (Revision n = 1; n < kEndpoints; ++n) {
     const RemovedEndpoint removed{EndpointId("e" + std::to_string(n))};
-    view.TakeChanges(Single(kEndpoints + n, removed), false, kStart);
+    view.ApplyChanges(Single(kEndpoints + n, removed), false, kStart);
     const PublishedPart part =
         view.PartAfter(kEndpoints + n - 1, {}, 10, kStart);
     REQUIRE_FALSE(part.whole);
--- a/tests/fleet/test_route_messages.cc
+++ b/tests/fleet/test_route_messages.cc
@@ -22,7 +22,7 @@
   route.idempotent = *rc::gen::arbitrary<bool>();
   route.timeout = milliseconds(*rc::gen::inRange(1, 100'000));
   route.latency_objective = milliseconds(*rc::gen::inRange(1, 100'000));
-  route.most_sends = *rc::gen::inRange(1, 100);
+  route.attempt_limit = *rc::gen::inRange(1, 100);
   route.urgency = static_cast<Urgency>(*rc::gen::inRange(0, 3));
   route.contract.customer = CustomerId(AnyText());
   route.contract.retry_percent = *rc::gen::inRange(0, 100);
@@ -48,7 +48,7 @@
 
 std::optional<PeerMessage> Passed(const PeerMessage& message) {
   std::optional<PeerMessage> got;
-  const auto fault = FaultOf([&]() -> leaf::result<void> {
+  const auto fault = CaptureError([&]() -> leaf::result<void> {
     BOOST_LEAF_ASSIGN(got, DecodePeerMessage(EncodePeerMessage(message)));
     return {};
   });
@@ -66,7 +66,7 @@
 
 TEST_CASE("books and steps between them pass from host to host unchanged") {
   CHECK(rc::check([] {
-    RouteBook book;
+    RouteTable book;
     book.version = *rc::gen::inRange<std::uint64_t>(1, 1000);
     book.routes = AnyRoutes();
     book.services = {{ServiceId("s"), "/h", 7, milliseconds(1500), 2.5}};
@@ -74,7 +74,7 @@
     const PeerMessage whole = UpdateWith(book);
     RC_ASSERT(Passed(whole) == whole);
 
-    RouteBookChange change;
+    RouteTableDelta change;
     change.base_version = 1;
     change.version = 2;
     change.changed = AnyRoutes();
@@ -89,7 +89,7 @@
 // A book that grows beyond what one message may hold: hosts would learn of no
 // change by their feeders any more, and all of them would ask the store.
 TEST_CASE("a book of 3,500 routes fits into one message") {
-  RouteBook book;
+  RouteTable book;
   book.version = 1;
   for (int n = 0; n < 3500; ++n) {
     Route route;
--- a/tests/main/test_fleet_node.cc
+++ b/tests/main/test_fleet_node.cc
@@ -29,7 +29,7 @@
   void OnInForce(const Document& /*document*/) override {}
   void OnRefused(DocumentName /*name*/,
                  const DocumentRefusal& /*refusal*/) override {}
-  void OnHeardDrain(const DrainSighting& /*sighting*/) override {}
+  void OnHeardDrain(const DrainObservation& /*sighting*/) override {}
 };
 
 FleetNodeOptions OptionsFor(const std::string& host,
--- a/tests/platform/test_foreign_entries.cc
+++ b/tests/platform/test_foreign_entries.cc
@@ -28,7 +28,7 @@
 }
 
 bool IsUsable(const std::string& id, const std::string& bytes) {
-  return !FaultOf([&]() -> leaf::result<void> {
+  return !CaptureError([&]() -> leaf::result<void> {
     BOOST_LEAF_CHECK(DecodeEndpoint(id, bytes));
     return {};
   });
@@ -49,7 +49,7 @@
 
 TEST_CASE("an entry tells of its endpoint's process and when it started") {
   PublishedEndpoint endpoint;
-  REQUIRE(!FaultOf([&]() -> leaf::result<void> {
+  REQUIRE(!CaptureError([&]() -> leaf::result<void> {
     BOOST_LEAF_ASSIGN(endpoint, DecodeEndpoint("i-1", Cbor(OwnEntry())));
     return {};
   }));
@@ -162,7 +162,7 @@
   store.Put("servers/" + std::string(190, '\x01'), Cbor(OwnEntry()));
   KvClient client({"127.0.0.1", store.port()});
   PublishedItems all;
-  REQUIRE(!FaultOf([&]() -> leaf::result<void> {
+  REQUIRE(!CaptureError([&]() -> leaf::result<void> {
     BOOST_LEAF_ASSIGN(all, client.ReadAll(seconds(5)));
     return {};
   }));
@@ -205,7 +205,7 @@
       }
     }
     PublishedEndpoint endpoint;
-    const auto fault = FaultOf([&]() -> leaf::result<void> {
+    const auto fault = CaptureError([&]() -> leaf::result<void> {
       BOOST_LEAF_ASSIGN(endpoint, DecodeEndpoint("i-1", bytes));
       return {};
     });
@@ -216,8 +216,8 @@
       RC_ASSERT(endpoint.spec.started_at.time_since_epoch().count() >= 0);
     }
     // The same bytes as a book, and as the store's own answer.
-    FaultOf([&]() -> leaf::result<void> {
-      BOOST_LEAF_CHECK(DecodeRouteBook(bytes));
+    CaptureError([&]() -> leaf::result<void> {
+      BOOST_LEAF_CHECK(DecodeRouteTable(bytes));
       BOOST_LEAF_CHECK(DecodeKvEvents(bytes));
       return {};
     });
--- a/tests/platform/test_kv_client.cc
+++ b/tests/platform/test_kv_client.cc
@@ -45,7 +45,7 @@
 
 template <typename Body>
 std::optional<Error> Fault(Body body) {
-  return FaultOf([&]() -> leaf::result<void> {
+  return CaptureError([&]() -> leaf::result<void> {
     BOOST_LEAF_CHECK(body());
     return {};
   });
@@ -54,7 +54,7 @@
 template <typename Value, typename Body>
 Value Require(Body body) {
   Value value{};
-  const auto fault = FaultOf([&]() -> leaf::result<void> {
+  const auto fault = CaptureError([&]() -> leaf::result<void> {
     BOOST_LEAF_ASSIGN(value, body());
     return {};
   });
@@ -66,14 +66,14 @@
 
 TEST_CASE("a published book is decoded into the product's own types") {
   const auto book =
-      Require<RouteBook>([] { return DecodeRouteBook(Cbor(kBook)); });
+      Require<RouteTable>([] { return DecodeRouteTable(Cbor(kBook)); });
   CHECK(book.version == 7);
   REQUIRE(book.routes.size() == 2);
   const Route& safe = book.routes[0];
   CHECK(safe.idempotent);
   CHECK(safe.timeout == milliseconds(1200));
   CHECK(safe.latency_objective == milliseconds(400));
-  CHECK(safe.most_sends == 3);
+  CHECK(safe.attempt_limit == 3);
   CHECK(safe.allowed_regions ==
         std::vector<RegionId>{RegionId("north"), RegionId("south")});
   CHECK(book.routes[1].allowed_regions.empty());
@@ -90,7 +90,7 @@
   CHECK(book.services[1].cold_rate == 0);
   CHECK(book.limits.body_bytes == 1000);
   CHECK(book.limits.idle_timeout == seconds(15));
-  CHECK(!Fault([&] { return CheckRouteBook(book); }));
+  CHECK(!Fault([&] { return CheckRouteTable(book); }));
 }
 
 TEST_CASE("a published endpoint is decoded") {
@@ -122,7 +122,7 @@
         with(book, R"("rows")", R"("lines")"),
         with(book, R"("columns")", R"("names")")}) {
     CAPTURE(it);
-    const auto fault = Fault([&] { return DecodeRouteBook(Cbor(it)); });
+    const auto fault = Fault([&] { return DecodeRouteTable(Cbor(it)); });
     REQUIRE(fault);
     CHECK(!fault->remedy.empty());
   }
@@ -140,7 +140,7 @@
   for (const std::string& whole : {Cbor(kBook), Cbor(kEndpoint)}) {
     for (std::size_t n = 0; n < whole.size(); ++n) {
       CAPTURE(n);
-      CHECK(Fault([&] { return DecodeRouteBook(whole.substr(0, n)); }));
+      CHECK(Fault([&] { return DecodeRouteTable(whole.substr(0, n)); }));
       CHECK(Fault([&] { return DecodeEndpoint("i", whole.substr(0, n)); }));
     }
   }
@@ -148,23 +148,24 @@
   // library reads both by recursion.
   for (const char it : {'\x81', '\x7f'}) {
     const std::string deep(1U << 20U, it);
-    CHECK(Fault([&] { return DecodeRouteBook(deep); }));
+    CHECK(Fault([&] { return DecodeRouteTable(deep); }));
     CHECK(Fault([&] { return DecodeKvPage(deep); }));
   }
 }
 
 TEST_CASE("a book that could not be followed is refused as a whole") {
   const auto broken = [](auto change) {
-    auto book = Require<RouteBook>([] { return DecodeRouteBook(Cbor(kBook)); });
+    auto book =
+        Require<RouteTable>([] { return DecodeRouteTable(Cbor(kBook)); });
     change(book);
-    return Fault([&] { return CheckRouteBook(book); }).has_value();
+    return Fault([&] { return CheckRouteTable(book); }).has_value();
   };
-  CHECK(broken([](RouteBook& it) { it.routes[0].prefix = "x/"; }));
-  CHECK(broken([](RouteBook& it) { it.routes[0].prefix = "/x"; }));
-  CHECK(broken([](RouteBook& it) { it.routes[0].host.clear(); }));
-  CHECK(broken([](RouteBook& it) { it.routes[0].targets.clear(); }));
-  CHECK(broken([](RouteBook& it) { it.services.clear(); }));
-  CHECK(broken([](RouteBook& it) { it.version = 0; }));
+  CHECK(broken([](RouteTable& it) { it.routes[0].prefix = "x/"; }));
+  CHECK(broken([](RouteTable& it) { it.routes[0].prefix = "/x"; }));
+  CHECK(broken([](RouteTable& it) { it.routes[0].host.clear(); }));
+  CHECK(broken([](RouteTable& it) { it.routes[0].targets.clear(); }));
+  CHECK(broken([](RouteTable& it) { it.services.clear(); }));
+  CHECK(broken([](RouteTable& it) { it.version = 0; }));
 }
 
 TEST_CASE("all pages are read, and one bad value costs only itself") {
@@ -239,7 +240,7 @@
       Require<PublishedItems>([&] { return client.ReadPart(seconds(2)); });
   CHECK(part.current == 81);
   REQUIRE(part.items.size() == 6);
-  CHECK(std::holds_alternative<RouteBook>(part.items[0].value));
+  CHECK(std::holds_alternative<RouteTable>(part.items[0].value));
   const auto id = [&](std::size_t n) {
     return std::get<PublishedEndpoint>(part.items[n].value).spec.id.text();
   };
--- a/tests/platform/test_platform_reader.cc
+++ b/tests/platform/test_platform_reader.cc
@@ -30,7 +30,7 @@
     const std::lock_guard lock(mutex_);
     documents_.push_back(std::move(document));
   }
-  void OnAsked(DocumentName /*name*/, std::uint64_t check) override {
+  void OnQueried(DocumentName /*name*/, std::uint64_t check) override {
     ++asked_;
     check_ = check;
   }
--- a/tests/policy/naive_admission_queue.h
+++ b/tests/policy/naive_admission_queue.h
@@ -28,7 +28,7 @@
         return;
       }
     }
-    if (calls_.size() >= options_.most_waiting &&
+    if (calls_.size() >= options_.max_waiting &&
         !Replace(VictimOfAll(offer), offer, refused)) {
       return;
     }
--- a/tests/policy/test_admission_queue.cc
+++ b/tests/policy/test_admission_queue.cc
@@ -50,7 +50,7 @@
 TEST_CASE("the queue decides as the naive one, and names each call once") {
   const bool held = rc::check([] {
     AdmissionOptions options;
-    options.most_waiting = *rc::gen::element<std::size_t>(4, 8, 60);
+    options.max_waiting = *rc::gen::element<std::size_t>(4, 8, 60);
     AdmissionQueue queue(options);
     NaiveAdmissionQueue naive(options);
     std::set<CallToken> inside;
@@ -110,7 +110,7 @@
         RC_ASSERT(inside.erase(it.token) == 1U);
       }
       RC_ASSERT(queue.size() == inside.size());
-      RC_ASSERT(queue.size() <= options.most_waiting);
+      RC_ASSERT(queue.size() <= options.max_waiting);
     }
   });
   CHECK(held);
--- a/tests/policy/test_call_outcome.cc
+++ b/tests/policy/test_call_outcome.cc
@@ -4,7 +4,7 @@
 #include "policy/call_outcome.h"
 #include "policy/chart_texts.h"
 #include "policy/service_balancer.h"
-#include "tests/support/chart_walk.h"
+#include "tests/support/state_chart_check.h"
 
 namespace damasktack {
 namespace {
@@ -192,8 +192,9 @@
 };
 
 TEST_CASE("the charts of calls and endpoints are walked") {
-  WalkChart("policy/charts/call.json", CallChartText(), GetCallChart());
-  CHECK(FileText("policy/charts/endpoint.json") == EndpointChartText());
+  CheckAllTransitions("policy/charts/call.json", CallChartText(),
+                      GetCallChart());
+  CHECK(ReadSourceFile("policy/charts/endpoint.json") == EndpointChartText());
 }
 
 TEST_CASE("a renewal runs once at most, and not-run is never said of one") {
--- a/tests/policy/test_cold_allowance.cc
+++ b/tests/policy/test_cold_allowance.cc
@@ -37,12 +37,12 @@
     fleet.back().SetService(service, hosts, kStart);
     fleet.back().OnListed(0, nullptr, endpoint, kStart);
   }
-  const ColdLook idle{0, true, 0, kSlots};
+  const ColdObservation idle{0, true, 0, kSlots};
   std::deque<TimePoint> sends;
   std::size_t worst = 0;
   for (TimePoint now = kStart; now < kStart + length; now += milliseconds(5)) {
     for (ColdEndpoints& it : fleet) {
-      if (it.MayTakeOne(idle, now)) {
+      if (it.CanAcceptCall(idle, now)) {
         it.OnSend(0, now);
         sends.push_back(now);
       }
@@ -85,13 +85,13 @@
   }
 
   std::size_t size() const { return hosts_.size(); }
-  void SetSeat(std::size_t host, const FleetSeat& seat) {
-    hosts_[host].SetSeat(seat);
+  void SetHostNumber(std::size_t host, const HostNumber& seat) {
+    hosts_[host].SetHostNumber(seat);
   }
   // Whether the host sends, which it does whenever it may.
   bool Send(std::size_t host, TimePoint now) {
-    const ColdLook free{0, true, kSlots - 1, kSlots};
-    if (!hosts_[host].MayTakeOne(free, now)) {
+    const ColdObservation free{0, true, kSlots - 1, kSlots};
+    if (!hosts_[host].CanAcceptCall(free, now)) {
       return false;
     }
     hosts_[host].OnSend(0, now);
@@ -126,11 +126,11 @@
                       "e" + std::to_string(*rc::gen::inRange(0, 1000)));
     const int more_seats = *rc::gen::inRange(0, hosts + 1);
     for (int n = 0; n < hosts; ++n) {
-      const FleetSeat seat =
+      const HostNumber seat =
           differ_in_seats
-              ? FleetSeat{n, n % 2 == 0 ? hosts : hosts + more_seats}
-              : FleetSeat{n / 2, (hosts + 1) / 2};
-      fleet.SetSeat(static_cast<std::size_t>(n), seat);
+              ? HostNumber{n, n % 2 == 0 ? hosts : hosts + more_seats}
+              : HostNumber{n / 2, (hosts + 1) / 2};
+      fleet.SetHostNumber(static_cast<std::size_t>(n), seat);
     }
     const int most_way_ms = *rc::gen::inRange(0, 250);
     std::mt19937 random(*rc::gen::arbitrary<unsigned>());
@@ -160,7 +160,7 @@
     for (int endpoint = 0; endpoint < kEndpoints; ++endpoint) {
       SeatedFleet fleet(hosts, kRate, "e" + std::to_string(endpoint));
       for (int n = 0; n < hosts; ++n) {
-        fleet.SetSeat(static_cast<std::size_t>(n), {n, hosts});
+        fleet.SetHostNumber(static_cast<std::size_t>(n), {n, hosts});
       }
       for (TimePoint now = kStart; now < kStart + seconds(kSeconds);
            now += milliseconds(50)) {
@@ -181,7 +181,7 @@
     std::uint64_t sent = 0;
     for (std::uint64_t n = 0; n < static_cast<std::uint64_t>(hosts); ++n) {
       ColdAllowance allowance(n * 0x9E3779B97F4A7C15ULL + 1);
-      allowance.OnCold(ColdWord::kList, kStart + seconds(100), kStart);
+      allowance.OnCold(ColdSource::kList, kStart + seconds(100), kStart);
       for (TimePoint now = kStart; now < kStart + seconds(100);
            now += milliseconds(20)) {
         if (allowance.Allows(2.0 / hosts, now)) {
@@ -198,9 +198,9 @@
 TEST_CASE("one that is warm takes calls whatever the share") {
   ColdAllowance allowance(7);
   CHECK(allowance.Allows(0, kStart));
-  allowance.OnCold(ColdWord::kList, kStart + seconds(1), kStart);
+  allowance.OnCold(ColdSource::kList, kStart + seconds(1), kStart);
   CHECK(!allowance.Allows(0, kStart));
-  allowance.OnCold(ColdWord::kProbe, kStart, kStart);
+  allowance.OnCold(ColdSource::kProbe, kStart, kStart);
   CHECK(allowance.Allows(0, kStart));
 }
 
--- a/tests/policy/test_crash_ledger.cc
+++ b/tests/policy/test_crash_tracker.cc
@@ -1,4 +1,4 @@
-#include "policy/crash_ledger.h"
+#include "policy/crash_tracker.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -23,7 +23,7 @@
 }
 
 // An endpoint that ended, with all requests that it had in hand.
-void Crash(CrashLedger& ledger,
+void Crash(CrashTracker& ledger,
            int endpoint,
            std::initializer_list<RequestFingerprint> requests,
            TimePoint at) {
@@ -33,12 +33,12 @@
   ledger.Confirm(Endpoint(endpoint));
 }
 
-Suspicion Judged(CrashLedger& ledger, RequestFingerprint it, TimePoint now) {
+Suspicion Judged(CrashTracker& ledger, RequestFingerprint it, TimePoint now) {
   return ledger.Judge(it, now).suspicion;
 }
 
 TEST_CASE("three crashes quarantine a request, for longer with each further") {
-  CrashLedger ledger({}, kSeed);
+  CrashTracker ledger({}, kSeed);
   CHECK(Judged(ledger, kCulprit, kStart) == Suspicion::kNone);
   Crash(ledger, 1, {kCulprit}, kStart);
   Crash(ledger, 2, {kCulprit}, kStart);
@@ -55,7 +55,7 @@
 // Endpoints reset connections when they are full and answers get lost; a
 // caller that tries again and again in a bad hour must not be locked out.
 TEST_CASE("broken calls whose endpoints are alive do not quarantine") {
-  CrashLedger ledger({}, kSeed);
+  CrashTracker ledger({}, kSeed);
   for (int n = 0; n < 100; ++n) {
     CHECK(ledger.Suspect({kBystander, Endpoint(n), kStart}) ==
           SuspectStep::kCheck);
@@ -69,7 +69,7 @@
 // A caller asks the same again and again, and each time its call is at an
 // endpoint that another request crashes.
 TEST_CASE("a crash that another request explains does not count") {
-  CrashLedger ledger({}, kSeed);
+  CrashTracker ledger({}, kSeed);
   for (int n = 0; n < 3; ++n) {
     Crash(ledger, n, {kCulprit, kBystander}, kStart + seconds(n));
   }
@@ -85,7 +85,7 @@
 }
 
 TEST_CASE("an answer clears a request, also of what is told later") {
-  CrashLedger ledger({}, kSeed);
+  CrashTracker ledger({}, kSeed);
   Crash(ledger, 1, {kBystander}, kStart);
   Crash(ledger, 2, {kBystander}, kStart);
   CHECK(ledger.Clear({kBystander, kStart + seconds(1)}, kStart + seconds(1)) ==
@@ -97,7 +97,7 @@
 }
 
 TEST_CASE("a quarantine ends with a trial of one call at a time") {
-  CrashLedger ledger({}, kSeed);
+  CrashTracker ledger({}, kSeed);
   for (int n = 0; n < 3; ++n) {
     Crash(ledger, n, {kCulprit}, kStart);
   }
@@ -117,7 +117,7 @@
 }
 
 TEST_CASE("one crash that several calls and hosts see counts once") {
-  CrashLedger ledger({}, kSeed);
+  CrashTracker ledger({}, kSeed);
   Crash(ledger, 1, {kCulprit}, kStart);
   CHECK(!ledger.Add({kCulprit, Endpoint(1), kStart + milliseconds(300)},
                     kStart + milliseconds(300)));
@@ -133,7 +133,7 @@
 }
 
 TEST_CASE("evidence is forgotten") {
-  CrashLedger ledger({}, kSeed);
+  CrashTracker ledger({}, kSeed);
   for (int n = 0; n < 3; ++n) {
     Crash(ledger, n, {kCulprit}, kStart);
   }
@@ -147,11 +147,11 @@
 // it shares with nobody always is.
 TEST_CASE("a quarantine rests on crashes, in any order of events") {
   rc::check([] {
-    CrashLedgerOptions options;
-    options.most_crashes = 24;
-    options.most_unconfirmed = 6;
-    options.most_suspects = 4;
-    CrashLedger ledger(options, kSeed);
+    CrashTrackerOptions options;
+    options.max_crashes = 24;
+    options.max_unconfirmed = 6;
+    options.max_suspects = 4;
+    CrashTracker ledger(options, kSeed);
     TimePoint now = kStart;
     const int steps = *rc::gen::inRange(1, 120);
     for (int n = 0; n < steps; ++n) {
@@ -175,7 +175,7 @@
         default:
           ledger.Suspect({request, endpoint, now});
       }
-      RC_ASSERT(ledger.crashes() <= options.most_crashes);
+      RC_ASSERT(ledger.crashes() <= options.max_crashes);
       const Suspicion judged = ledger.Judge(request, now).suspicion;
       const std::size_t crashes = ledger.CountCrashes(request);
       if (judged == Suspicion::kQuarantined) {
--- a/tests/policy/test_endpoint_restraints.cc
+++ b/tests/policy/test_endpoint_limits.cc
@@ -1,4 +1,4 @@
-#include "policy/endpoint_restraints.h"
+#include "policy/endpoint_limits.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -18,8 +18,8 @@
 constexpr EndpointIndex kEndpoint = 0;
 constexpr std::size_t kEndpoints = 15;
 
-EndpointRestraints MakeHost(const std::string& name, int hosts, TimePoint now) {
-  EndpointRestraints host{HostId(name)};
+EndpointLimits MakeHost(const std::string& name, int hosts, TimePoint now) {
+  EndpointLimits host{HostId(name)};
   host.SetService(kEndpoints, hosts, now);
   host.OnAdded(kEndpoint, EndpointId("e"));
   return host;
@@ -80,7 +80,7 @@
   static constexpr seconds kUntilInTouch{3};
 
   struct Host {
-    EndpointRestraints restraints;
+    EndpointLimits restraints;
     TimePoint excused_until;
     TimePoint frozen_until = {};
     TimePoint cut_until = {};
@@ -104,7 +104,7 @@
       host.knows = true;
       host.restraints.OnAnswer(kEndpoint, {.rate_limit = limit_}, now_, now_);
     }
-    if (!host.knows || !host.restraints.MayTakeOne(kEndpoint, now_)) {
+    if (!host.knows || !host.restraints.CanAcceptCall(kEndpoint, now_)) {
       return;
     }
     host.restraints.OnSend(kEndpoint, now_);
@@ -154,18 +154,18 @@
 }
 
 TEST_CASE("an answer without the limit takes it back") {
-  EndpointRestraints host = MakeHost("h", 1000, kStart);
+  EndpointLimits host = MakeHost("h", 1000, kStart);
   host.OnAnswer(kEndpoint, {.rate_limit = 1}, kStart, kStart + seconds(1));
   CHECK(host.rate_limit(kEndpoint) == 1);
   host.OnAnswer(kEndpoint, {}, kStart + seconds(2), kStart + seconds(3));
   CHECK_FALSE(host.rate_limit(kEndpoint));
-  CHECK(host.MayTakeOne(kEndpoint, kStart + seconds(3)));
+  CHECK(host.CanAcceptCall(kEndpoint, kStart + seconds(3)));
 }
 
 // Guards against an answer that was under way when the endpoint began to state
 // its limit.
 TEST_CASE("an answer to an earlier request does not take the limit back") {
-  EndpointRestraints host = MakeHost("h", 1000, kStart);
+  EndpointLimits host = MakeHost("h", 1000, kStart);
   host.OnAnswer(kEndpoint, {.rate_limit = 1}, kStart, kStart + seconds(1));
   host.OnAnswer(kEndpoint, {}, kStart, kStart + seconds(2));
   CHECK(host.rate_limit(kEndpoint) == 1);
@@ -173,7 +173,7 @@
 
 // A probe may be answered by another part of the endpoint than calls are.
 TEST_CASE("the answer to a probe states a limit and takes none back") {
-  EndpointRestraints host = MakeHost("h", 1000, kStart);
+  EndpointLimits host = MakeHost("h", 1000, kStart);
   host.OnProbeAnswer(kEndpoint, {.rate_limit = 1}, kStart);
   host.OnProbeAnswer(kEndpoint, {}, kStart + seconds(1));
   CHECK(host.rate_limit(kEndpoint) == 1);
@@ -182,36 +182,36 @@
 // Guards against an endpoint that is called again within the rest that it asked
 // for, whatever its other answers say.
 TEST_CASE("an endpoint that asked for rest gets nothing until it is over") {
-  EndpointRestraints host = MakeHost("h", 1, kStart);
+  EndpointLimits host = MakeHost("h", 1, kStart);
   host.OnAnswer(kEndpoint, {.rest = seconds(3)}, kStart, kStart);
   host.OnAnswer(kEndpoint, {.rest = seconds(1)}, kStart, kStart);
   host.OnAnswer(kEndpoint, {}, kStart, kStart + seconds(1));
-  CHECK_FALSE(host.MayTakeOne(kEndpoint, kStart + milliseconds(2999)));
-  CHECK(host.IsResting(kEndpoint, kStart + milliseconds(2999)));
-  CHECK(host.MayTakeOne(kEndpoint, kStart + seconds(3)));
-  CHECK(host.OpensAt(kEndpoint, kStart, kStart + seconds(9)) ==
+  CHECK_FALSE(host.CanAcceptCall(kEndpoint, kStart + milliseconds(2999)));
+  CHECK(host.IsPaused(kEndpoint, kStart + milliseconds(2999)));
+  CHECK(host.CanAcceptCall(kEndpoint, kStart + seconds(3)));
+  CHECK(host.AvailableAt(kEndpoint, kStart, kStart + seconds(9)) ==
         kStart + seconds(3));
-  CHECK(host.OpensAt(kEndpoint, kStart, kStart + seconds(2)) ==
+  CHECK(host.AvailableAt(kEndpoint, kStart, kStart + seconds(2)) ==
         kStart + seconds(2));
 }
 
 TEST_CASE("after its rest an endpoint still has its limit") {
-  EndpointRestraints host = MakeHost("h", 1000, kStart);
+  EndpointLimits host = MakeHost("h", 1000, kStart);
   host.OnAnswer(kEndpoint, {.rate_limit = 0, .rest = seconds(3)}, kStart,
                 kStart);
   const TimePoint latest = kStart + seconds(60);
-  const TimePoint opens_at = host.OpensAt(kEndpoint, kStart, latest);
+  const TimePoint opens_at = host.AvailableAt(kEndpoint, kStart, latest);
   CHECK(opens_at >= kStart + seconds(3));
-  CHECK((opens_at == latest || host.MayTakeOne(kEndpoint, opens_at)));
+  CHECK((opens_at == latest || host.CanAcceptCall(kEndpoint, opens_at)));
 }
 
 TEST_CASE("another process at the index has no limit and no rest") {
-  EndpointRestraints host = MakeHost("h", 1000, kStart);
+  EndpointLimits host = MakeHost("h", 1000, kStart);
   host.OnAnswer(kEndpoint, {.rate_limit = 1, .rest = seconds(9)}, kStart,
                 kStart);
   host.OnAdded(kEndpoint, EndpointId("other"));
   CHECK_FALSE(host.rate_limit(kEndpoint));
-  CHECK(host.MayTakeOne(kEndpoint, kStart));
+  CHECK(host.CanAcceptCall(kEndpoint, kStart));
 }
 
 // Guards against an endpoint that is never asked again after it took nothing
--- a/tests/policy/test_endpoint_roster.cc
+++ b/tests/policy/test_endpoint_roster.cc
@@ -98,7 +98,7 @@
                                CountNaively(roster, EndpointState::kDraining) -
                                CountNaively(roster, EndpointState::kGone);
       RC_ASSERT(CountNaively(roster, EndpointState::kEjected) <=
-                MostEjected(live));
+                MaxEjected(live));
     }
   }));
 }
--- a/tests/policy/test_endpoint_state.cc
+++ b/tests/policy/test_endpoint_state.cc
@@ -3,14 +3,14 @@
 #include <doctest/doctest.h>
 
 #include "policy/chart_texts.h"
-#include "tests/support/chart_walk.h"
+#include "tests/support/state_chart_check.h"
 
 namespace damasktack {
 namespace {
 
 TEST_CASE("the endpoint's chart is the file's, transition by transition") {
-  WalkChart("policy/charts/endpoint.json", EndpointChartText(),
-            GetEndpointChart());
+  CheckAllTransitions("policy/charts/endpoint.json", EndpointChartText(),
+                      GetEndpointChart());
 }
 
 }  // namespace
--- a/tests/policy/test_endpoint_table.cc
+++ b/tests/policy/test_endpoint_table.cc
@@ -48,9 +48,8 @@
   }
 
   void SetService() { table.SetService(service, kHosts, now); }
-  std::optional<EndpointIndex> Pick(double most_load = 1) {
-    return table.Pick(PickRequest{Urgency::kNormal, most_load, {}}, now,
-                      random);
+  std::optional<EndpointIndex> Pick(double max_load = 1) {
+    return table.Pick(PickRequest{Urgency::kNormal, max_load, {}}, now, random);
   }
   void Call(EndpointIndex index, SendResult result, Duration took) {
     table.OnSend(index, now);
@@ -350,9 +349,9 @@
         }
       }
     }
-    const double most_load = *rc::gen::inRange(1, 20) / 10.0;
-    const auto a = sampling.Pick(most_load);
-    const auto b = naive.Pick(most_load);
+    const double max_load = *rc::gen::inRange(1, 20) / 10.0;
+    const auto a = sampling.Pick(max_load);
+    const auto b = naive.Pick(max_load);
     RC_ASSERT(a.has_value() == b.has_value());
     if (a) {
       const auto endpoints_now = naive.table.Status(naive.now).endpoints;
--- a/tests/policy/test_retry_budget.cc
+++ b/tests/policy/test_retry_budget.cc
@@ -246,7 +246,7 @@
 
 TEST_CASE("memory is bounded whatever customers come") {
   RetryBudgetOptions options;
-  options.most_customers = 10;
+  options.max_customers = 10;
   RetryBudget budget(options);
   for (int n = 0; n < 1000; ++n) {
     budget.OnFirstSend(CustomerId("c" + std::to_string(n)), 10, kStart);
--- a/tests/policy/test_service_balancer.cc
+++ b/tests/policy/test_service_balancer.cc
@@ -79,7 +79,7 @@
  private:
   static BalancerOptions Options() {
     BalancerOptions options;
-    options.most_waiting = 6;
+    options.max_waiting = 6;
     return options;
   }
 
@@ -123,8 +123,8 @@
     offer.idempotent = *rc::gen::arbitrary<bool>();
     offer.waiting_limit = *rc::gen::element(0, 2, 100);
     const bool sheds = *rc::gen::arbitrary<bool>();
-    offer.when_short =
-        sheds ? ShortageTreatment::kShed : ShortageTreatment::kWait;
+    offer.overload_policy =
+        sheds ? OverloadPolicy::kShed : OverloadPolicy::kWait;
     waiting_.emplace(offer.token, offer);
     balancer_.Offer(offer, now_, out_);
     Take();
@@ -294,7 +294,7 @@
   offer.idempotent = true;
   balancer.Offer(offer, kStart, out);
   SendEnd end = EndOf(out.dispatches.at(0), SendResult::kFailed);
-  end.retried_deeper = true;
+  end.retried_downstream = true;
   CHECK(balancer.Finish(offer, end, kStart, out) == AfterSend::kDone);
   out.clear();
   offer.token = 2;
--- a/tests/policy/test_report_trust.cc
+++ b/tests/policy/test_stale_report_detector.cc
@@ -1,4 +1,4 @@
-#include "policy/report_trust.h"
+#include "policy/stale_report_detector.h"
 
 #include <doctest/doctest.h>
 
@@ -38,14 +38,14 @@
     }
   }
 
-  ReportTrust trust;
+  StaleReportDetector trust;
   Random random{5};
   std::array<std::int32_t, kEndpoints> calls{};
   std::array<std::int32_t, kEndpoints> before{};
 };
 
 TEST_CASE("reports are trusted before anything is known") {
-  CHECK(ReportTrust().IsTrusted());
+  CHECK(StaleReportDetector().IsTrusted());
 }
 
 TEST_CASE("reports that are measured anew each time are trusted") {
