--- a/tests/proxy/proxy_fixture.cc
+++ b/tests/proxy/proxy_fixture.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-ContractBook Contracts() {
+ContractList Contracts() {
   Contract contract;
   contract.customer = CustomerId("keepers");
   contract.key_sha256 = {Sha256Hex("key")};
@@ -19,10 +19,10 @@
   commands.service = ServiceId("dispatch");
   commands.urgency = Urgency::kUrgent;
   contract.requests = {reads, commands};
-  return ContractBook{1, {contract}};
+  return ContractList{1, {contract}};
 }
 
-ServiceBook Services(const ProxyFixture::Setup& setup) {
+ServiceList Services(const ProxyFixture::Setup& setup) {
   ServiceSpec service;
   service.id = ServiceId("dispatch");
   service.prefix = "/dispatch";
@@ -35,7 +35,7 @@
     endpoint.connections = setup.connections;
     service.endpoints.push_back(endpoint);
   }
-  return ServiceBook{1, {service}};
+  return ServiceList{1, {service}};
 }
 
 std::string CommonHeaders(std::string_view more) {
--- a/tests/proxy/test_crash_check.cc
+++ b/tests/proxy/test_crash_check.cc
@@ -21,7 +21,7 @@
                  CheckForCrash(quarantine, kEndpoint, {"127.0.0.1", port}),
                  asio::detached);
   context.run();
-  return quarantine.SightingsOf(kRequest).size();
+  return quarantine.ObservationsOf(kRequest).size();
 }
 
 TEST_CASE("an endpoint at whose address nobody listens has ended") {
--- a/tests/proxy/test_published_routes.cc
+++ b/tests/proxy/test_published_routes.cc
@@ -51,7 +51,7 @@
     options.balancer.retries.service_percent = 100;
     state_ = std::make_unique<ProxyState>(options, limits_, claims_);
     server_ = std::make_unique<CallerServer>(*state_);
-    auto book = std::make_shared<RouteBook>();
+    auto book = std::make_shared<RouteTable>();
     book->version = 1;
     book->services = {{ServiceId("s"), "/health", 250}};
     book->routes = {MakeRoute("/read/", true), MakeRoute("/write/", false)};
--- a/tests/standin/test_load_emulator.cc
+++ b/tests/standin/test_load_emulator.cc
@@ -119,7 +119,7 @@
   retries.service_percent = 18;
   retries.fleet_slack = 62;
   RetryBudgetOptions anybody = retries;
-  anybody.most_refused = 1;
+  anybody.max_refused = 1;
   CHECK(ServedWhileRefusing(service, load, retries) >
         ServedWhileRefusing(service, load, anybody));
   RetryBudgetOptions single = anybody;
--- a/tests/support/chart_walk.h
+++ b/tests/support/state_chart_check.h
@@ -1,5 +1,5 @@
-#ifndef TESTS_SUPPORT_CHART_WALK_H_
-#define TESTS_SUPPORT_CHART_WALK_H_
+#ifndef TESTS_SUPPORT_STATE_CHART_CHECK_H_
+#define TESTS_SUPPORT_STATE_CHART_CHECK_H_
 
 #include <doctest/doctest.h>
 
@@ -11,7 +11,7 @@
 
 namespace damasktack {
 
-inline std::string FileText(const std::string& path) {
+inline std::string ReadSourceFile(const std::string& path) {
   std::ifstream file(std::string(DAMASKTACK_SOURCE_DIR) + "/" + path);
   std::ostringstream text;
   text << file.rdbuf();
@@ -22,10 +22,10 @@
 // and event that has none: the bound table must say the same as the file, and
 // the committed text must be the file's.
 template <typename State, typename Event>
-void WalkChart(const std::string& path,
-               std::string_view committed,
-               const BoundChart<State, Event>& bound) {
-  const std::string text = FileText(path);
+void CheckAllTransitions(const std::string& path,
+                         std::string_view committed,
+                         const BoundChart<State, Event>& bound) {
+  const std::string text = ReadSourceFile(path);
   REQUIRE_MESSAGE(text == committed, "run misc/scripts/embed_charts.py");
   Try(
       [&]() -> leaf::result<void> {
@@ -61,4 +61,4 @@
 
 }  // namespace damasktack
 
-#endif  // TESTS_SUPPORT_CHART_WALK_H_
+#endif  // TESTS_SUPPORT_STATE_CHART_CHECK_H_
--- a/tests/system/child_process.cc
+++ b/tests/system/child_process.cc
@@ -50,19 +50,19 @@
   }
   int status = 0;
   waitpid(pid_, &status, 0);
-  NoteEnd(status);
+  RecordExit(status);
   return exit_code_;
 }
 
 bool ChildProcess::HasEnded() {
   int status = 0;
   if (pid_ != 0 && waitpid(pid_, &status, WNOHANG) == pid_) {
-    NoteEnd(status);
+    RecordExit(status);
   }
   return pid_ == 0;
 }
 
-void ChildProcess::NoteEnd(int status) {
+void ChildProcess::RecordExit(int status) {
   pid_ = 0;
   exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
 }
--- a/tests/system/child_process.h
+++ b/tests/system/child_process.h
@@ -25,7 +25,7 @@
   pid_t pid() const { return pid_; }
 
  private:
-  void NoteEnd(int status);
+  void RecordExit(int status);
 
   pid_t pid_ = 0;
   int exit_code_ = 0;
--- a/tests/system/load_checks.cc
+++ b/tests/system/load_checks.cc
@@ -57,9 +57,9 @@
       records, outcome, [](const LoadRecord& it) { return it.outcome; }));
 }
 
-void CheckOutcomesAreTrue(const LoadPlan& plan,
-                          const LoadRecords& records,
-                          const ExecutionLog& log) {
+void CheckOutcomesMatchExecutions(const LoadPlan& plan,
+                                  const LoadRecords& records,
+                                  const ExecutionLog& log) {
   std::size_t ran_though_told_not = 0;
   std::size_t complete_without_run = 0;
   std::size_t doubled = 0;
--- a/tests/system/load_checks.h
+++ b/tests/system/load_checks.h
@@ -20,9 +20,9 @@
 // Holds what each caller was told against what ran: "not-run" did not run,
 // "complete" ran, nobody got another caller's answer, and no keyed or unkeyed
 // command ran twice.
-void CheckOutcomesAreTrue(const LoadPlan& plan,
-                          const LoadRecords& records,
-                          const ExecutionLog& log);
+void CheckOutcomesMatchExecutions(const LoadPlan& plan,
+                                  const LoadRecords& records,
+                                  const ExecutionLog& log);
 
 // Prints how the calls of each class ended, for the reader of the test's log.
 void PrintOutcomes(const LoadPlan& plan, const LoadRecords& records);
--- a/tests/system/test_endpoint_faults.cc
+++ b/tests/system/test_endpoint_faults.cc
@@ -50,7 +50,7 @@
   SetFaults(fleet, "dashboard-3", faults);
   const LoadRecords records = load.get();
   PrintOutcomes(plan, records);
-  CheckOutcomesAreTrue(plan, records, fleet.standins().log());
+  CheckOutcomesMatchExecutions(plan, records, fleet.standins().log());
   CHECK(CountOf(records, LoadOutcome::kCut) == 0);
   CHECK(CountOf(records, LoadOutcome::kComplete) > records.size() * 9 / 10);
 }
@@ -70,7 +70,7 @@
   plan.classes = {DockCommands(80), UnkeyedCommands(80), Lookups(200)};
   const LoadRecords records = StartLoad(plan).get();
   PrintOutcomes(plan, records);
-  CheckOutcomesAreTrue(plan, records, fleet.standins().log());
+  CheckOutcomesMatchExecutions(plan, records, fleet.standins().log());
   CHECK(CountOf(records, LoadOutcome::kCut) == 0);
 }
 
@@ -94,7 +94,7 @@
   fleet.WaitReady(3);
   const LoadRecords records = load.get();
   PrintOutcomes(plan, records);
-  CheckOutcomesAreTrue(plan, records, fleet.standins().log());
+  CheckOutcomesMatchExecutions(plan, records, fleet.standins().log());
   CHECK(CountOf(records, LoadOutcome::kNoEntry) == 0);
   CHECK(CountOf(records, LoadOutcome::kCut) < 50);
 }
--- a/tests/system/test_replacement.cc
+++ b/tests/system/test_replacement.cc
@@ -26,7 +26,7 @@
   }
   const LoadRecords records = load.get();
   PrintOutcomes(plan, records);
-  CheckOutcomesAreTrue(plan, records, fleet.standins().log());
+  CheckOutcomesMatchExecutions(plan, records, fleet.standins().log());
   CHECK(CountOf(records, LoadOutcome::kCut) == 0);
   CHECK(CountOf(records, LoadOutcome::kNoEntry) == 0);
   CHECK(CountOf(records, LoadOutcome::kFailed) == 0);
@@ -45,7 +45,7 @@
   CHECK(fleet.host(1).Wait() == -SIGKILL);
   const LoadRecords records = load.get();
   PrintOutcomes(plan, records);
-  CheckOutcomesAreTrue(plan, records, fleet.standins().log());
+  CheckOutcomesMatchExecutions(plan, records, fleet.standins().log());
   CHECK(CountOf(records, LoadOutcome::kNoEntry) == 0);
   // What was in flight on one host of four, and nothing after it.
   CHECK(CountOf(records, LoadOutcome::kCut) < 50);
