--- a/tests/main/test_call_explainer.cc
+++ b/tests/main/test_call_explainer.cc
@@ -34,7 +34,7 @@
     "sends=1 total_ms=700 at_endpoints_ms=690 left_ms=-300 expected_ms=160 "
     "report_age_ms=-1 version=3 left_out=0\n";
 
-std::vector<LogLine> BothLogs() {
+std::vector<LogLine> ReadBothLogs() {
   std::istringstream second(kSecondHost);
   std::istringstream first(kFirstHost);
   std::vector<LogLine> lines = ReadLog(second, "h2");
@@ -44,8 +44,8 @@
   return lines;
 }
 
-TEST_CASE("a call is told in order over the hosts that had it") {
-  const CallExplanation found = ExplainCall("c-1", BothLogs());
+TEST_CASE("a call is explained in chronological order over its hosts") {
+  const CallExplanation found = ExplainCall("c-1", ReadBothLogs());
   REQUIRE(found.meanings.size() == 2);
   CHECK(found.meanings[0] ==
         "on h1: shed: no endpoint could have served it on time, or one refused "
@@ -57,8 +57,8 @@
         "endpoints); sent 1 times, last to e2; later than its objective");
 }
 
-TEST_CASE("beliefs are those from before the call that bear on it") {
-  const CallExplanation found = ExplainCall("c-1", BothLogs());
+TEST_CASE("only relevant events from before the call are shown") {
+  const CallExplanation found = ExplainCall("c-1", ReadBothLogs());
   std::string events;
   for (const LogLine& it : found.beliefs) {
     events += it.event + " " + it.Value("endpoint") + ";";
@@ -66,8 +66,8 @@
   CHECK(events == "started ;store-lost ;endpoint-state e1;cold-send e1;");
 }
 
-TEST_CASE("a call without a line is said to have none") {
-  CHECK(ExplainCall("c-2", BothLogs()).calls.empty());
+TEST_CASE("a call without a log line has no explanation") {
+  CHECK(ExplainCall("c-2", ReadBothLogs()).calls.empty());
 }
 
 }  // namespace
--- a/tests/main/test_daemon.cc
+++ b/tests/main/test_daemon.cc
@@ -19,13 +19,13 @@
   "requests": [{"service": "dispatch", "urgency": "urgent"}]
 }]})";  // The key is "key".
 
-std::string Services(std::uint16_t port) {
+std::string MakeServicesJson(std::uint16_t port) {
   return R"({"services": [{"id": "dispatch", "prefix": "/dispatch",
     "endpoints": [{"id": "e1", "address": "127.0.0.1:)" +
          std::to_string(port) + R"(", "zone": "z1", "slots": 6}]}]})";
 }
 
-Settings SettingsFor(std::uint16_t platform_port) {
+Settings MakeSettings(std::uint16_t platform_port) {
   Settings settings;
   settings.host = HostId("h1");
   settings.zone = ZoneId("z1");
@@ -38,15 +38,15 @@
   return settings;
 }
 
-TEST_CASE("a call goes from its caller to an endpoint and back") {
+TEST_CASE("a call is forwarded to an endpoint and answered") {
   StandinPlatform platform;
   const std::uint16_t platform_port = platform.Start(0);
   StandinEndpoint endpoint(StandinEndpointOptions{});
   platform.Publish("contracts", kContracts);
-  platform.Publish("services", Services(endpoint.Start(0)));
+  platform.Publish("services", MakeServicesJson(endpoint.Start(0)));
   platform.Publish("hosts", R"({"hosts": [{"id": "h1",
     "peer_address": "127.0.0.1:1", "zone": "z1"}]})");
-  Daemon daemon(SettingsFor(platform_port));
+  Daemon daemon(MakeSettings(platform_port));
   CHECK(Try(
       [&]() -> leaf::result<bool> {
         BOOST_LEAF_CHECK(daemon.Start());
@@ -65,12 +65,12 @@
   CHECK(served->body == "served /dispatch/dock\n");
   CHECK(served->get_header_value("Damasktack-Outcome") == "complete");
 
-  const auto stranger = client.Get("/dispatch/dock");
-  REQUIRE(stranger);
-  CHECK(stranger->status == 401);
-  CHECK(stranger->get_header_value("Damasktack-Outcome") == "not-run");
+  const auto unauthorized = client.Get("/dispatch/dock");
+  REQUIRE(unauthorized);
+  CHECK(unauthorized->status == 401);
+  CHECK(unauthorized->get_header_value("Damasktack-Outcome") == "not-run");
 
-  // A daemon without peers owns its customers' limits whole.
+  // A daemon without peers owns the whole of its customers' limits.
   const std::vector<CustomerReport> customers = daemon.Customers();
   REQUIRE(customers.size() == 1);
   CHECK(customers[0].concurrency.owned == 20 * 1000);
--- a/tests/main/test_fleet_gates.cc
+++ b/tests/main/test_fleet_gates.cc
@@ -13,7 +13,7 @@
 
 using std::chrono::milliseconds;
 
-class Ignore : public FleetNodeEvents {
+class IgnoredEvents : public FleetNodeEvents {
  public:
   void OnInForce(const Document& /*document*/) override {}
   void OnRefused(DocumentName /*name*/,
@@ -27,7 +27,7 @@
   return options;
 }
 
-// One host with real links, its gates and no proxy.
+// A host with real links and its limit and claim gates, without a proxy.
 struct Host {
   Host(const std::string& id, std::uint16_t platform_port)
       : limits(HostId(id), incarnation, {}),
@@ -51,18 +51,18 @@
         [](const Error&) { return false; });
   }
 
-  // Waits for the reply.
+  // Claims a key and waits for the reply.
   ClaimReply Claim(const ClaimRequest& request) {
     struct Answer {
-      std::atomic<bool> there = false;
+      std::atomic<bool> ready = false;
       ClaimReply reply;
     };
     const auto answer = std::make_shared<Answer>();
     claims.Claim(request, [answer](const ClaimReply& it) {
       answer->reply = it;
-      answer->there = true;
+      answer->ready = true;
     });
-    while (!answer->there) {
+    while (!answer->ready) {
       std::this_thread::sleep_for(milliseconds(1));
     }
     return answer->reply;
@@ -71,15 +71,15 @@
   const Incarnation incarnation = DrawIncarnation();
   FleetLimitGate limits;
   FleetClaimGate claims;
-  Ignore events;
+  IgnoredEvents events;
   std::unique_ptr<FleetNode> node;
   bool started = false;
 };
 
 }  // namespace
 
-// A dock command comes through one host and is repeated through the others,
-// over real links: it is granted once, and every repeat hears its answer.
+// A command that arrives at one host and is repeated through the others over
+// real links is granted once, and every repeat gets the stored response.
 TEST_CASE("hosts with real links share limits and claims") {
   StandinPlatform platform;
   const std::uint16_t port = platform.Start(0);
--- a/tests/main/test_fleet_metrics.cc
+++ b/tests/main/test_fleet_metrics.cc
@@ -8,12 +8,13 @@
 namespace damasktack {
 namespace {
 
-bool HasLine(const std::string& page, const std::string& wanted) {
-  return ("\n" + page).find("\n" + wanted + "\n") != std::string::npos;
+bool HasLine(const std::string& page, const std::string& expected) {
+  return ("\n" + page).find("\n" + expected + "\n") != std::string::npos;
 }
 
-// Distinct values, so that no member can stand under the name of another.
-std::string RenderFilled() {
+// Renders counters with distinct values, so that a counter under the wrong name
+// is detected.
+std::string RenderDistinctValues() {
   TransportCounters peers;
   std::uint64_t next = 100;
   for (std::uint64_t* it :
@@ -34,8 +35,8 @@
                             PlatformReaderCounters{400, 401, 402});
 }
 
-TEST_CASE("each counter stands under its own name") {
-  const std::string page = RenderFilled();
+TEST_CASE("each counter is rendered under its own name") {
+  const std::string page = RenderDistinctValues();
   for (const char* it : {"peer_links_opened_total 100",
                          "peer_links_closed_total 101",
                          "peer_dials_failed_total 102",
@@ -74,8 +75,8 @@
   }
 }
 
-TEST_CASE("each name has its type once, above its samples") {
-  std::istringstream page(RenderFilled());
+TEST_CASE("each metric has one type line above its samples") {
+  std::istringstream page(RenderDistinctValues());
   std::set<std::string> typed;
   std::string current;
   for (std::string line; std::getline(page, line);) {
--- a/tests/main/test_fleet_node.cc
+++ b/tests/main/test_fleet_node.cc
@@ -24,7 +24,7 @@
   return true;
 }
 
-class Ignore : public FleetNodeEvents {
+class IgnoredEvents : public FleetNodeEvents {
  public:
   void OnInForce(const Document& /*document*/) override {}
   void OnRefused(DocumentName /*name*/,
@@ -32,8 +32,8 @@
   void OnHeardDrain(const DrainObservation& /*sighting*/) override {}
 };
 
-FleetNodeOptions OptionsFor(const std::string& host,
-                            std::uint16_t platform_port) {
+FleetNodeOptions MakeOptions(const std::string& host,
+                             std::uint16_t platform_port) {
   FleetNodeOptions options;
   options.host = HostId(host);
   options.zone = ZoneId("z1");
@@ -63,7 +63,7 @@
     return node.state()->RevisionOf(DocumentName::kContracts);
   }
 
-  Ignore events;
+  IgnoredEvents events;
   FleetNode node;
   bool started = false;
 };
@@ -74,26 +74,26 @@
          std::to_string(port) + R"("})";
 }
 
-void PublishBasics(StandinPlatform& platform, const std::string& hosts) {
+void PublishDocuments(StandinPlatform& platform, const std::string& hosts) {
   platform.Publish("contracts", R"({"contracts": []})");
   platform.Publish("services", R"({"services": []})");
   platform.Publish("hosts", R"({"hosts": [)" + hosts + "]}");
 }
 
-// The platform goes away, a host is replaced by an empty one, and that one must
-// serve all the same: from what its peers hold, and never from less.
+// While the platform is down, a host that starts without data must serve from
+// the documents of its peers, and never from older ones.
 TEST_CASE("a host starts from its peers while the platform is down") {
   StandinPlatform platform;
   const std::uint16_t port = platform.Start(0);
-  Node one(OptionsFor("h1", port));
+  Node one(MakeOptions("h1", port));
   REQUIRE(one.started);
-  PublishBasics(platform, HostEntry("h1", one.node.peer_port()));
+  PublishDocuments(platform, HostEntry("h1", one.node.peer_port()));
   CHECK(WaitFor([&] { return one.node.IsReady(); }));
   platform.Publish("contracts", R"({"contracts": [] /* second */})");
   CHECK(WaitFor([&] { return one.contracts() == 2; }));
 
   platform.SetFault(StandinPlatform::Fault::kDown);
-  FleetNodeOptions options = OptionsFor("h2", port);
+  FleetNodeOptions options = MakeOptions("h2", port);
   Node unseeded(options);
   options.host = HostId("h3");
   options.fleet.peer_wait = std::chrono::seconds(5);
@@ -103,7 +103,8 @@
   CHECK(seeded.contracts() == 2);
   CHECK_FALSE(unseeded.node.IsReady());
 
-  // It comes back from an old copy, just as another empty host starts.
+  // The platform returns with an old copy while another host without data
+  // starts.
   platform.PublishAs("contracts", 1, R"({"contracts": []})");
   platform.SetFault(StandinPlatform::Fault::kNone);
   options.host = HostId("h4");
@@ -114,10 +115,11 @@
   CHECK(one.contracts() == 2);
 }
 
-TEST_CASE("a refused value is told and the last good one stays") {
+TEST_CASE(
+    "a rejected document is reported and the last valid one stays in force") {
   StandinPlatform platform;
-  Node one(OptionsFor("h1", platform.Start(0)));
-  PublishBasics(platform, HostEntry("h1", one.node.peer_port()));
+  Node one(MakeOptions("h1", platform.Start(0)));
+  PublishDocuments(platform, HostEntry("h1", one.node.peer_port()));
   CHECK(WaitFor([&] { return one.node.IsReady(); }));
   platform.Publish("contracts", R"({"contracts": [)");
   CHECK(WaitFor([&] { return one.node.state()->refused[0].has_value(); }));
@@ -128,13 +130,13 @@
   CHECK_FALSE(one.node.state()->refused[0].has_value());
 }
 
-TEST_CASE("a host that stops is known to leave and then to be gone") {
+TEST_CASE("a host that stops is seen as leaving and then as unreachable") {
   StandinPlatform platform;
   const std::uint16_t port = platform.Start(0);
-  Node one(OptionsFor("h1", port));
-  auto two = std::make_unique<Node>(OptionsFor("h2", port));
-  PublishBasics(platform, HostEntry("h1", one.node.peer_port()) + "," +
-                              HostEntry("h2", two->node.peer_port()));
+  Node one(MakeOptions("h1", port));
+  auto two = std::make_unique<Node>(MakeOptions("h2", port));
+  PublishDocuments(platform, HostEntry("h1", one.node.peer_port()) + "," +
+                                 HostEntry("h2", two->node.peer_port()));
   const auto peer = [&] {
     const auto state = one.node.state();
     return state->view.peers.empty() ? PeerView{} : state->view.peers.front();
--- a/tests/main/test_graceful_stop.cc
+++ b/tests/main/test_graceful_stop.cc
@@ -62,26 +62,26 @@
   return daemon;
 }
 
-// Callers that send commands without a pause, each to the first ready host, as
-// the platform's balancer would lead it.
+// Callers that send commands continuously, each to the first ready host, as the
+// platform's balancer would route them.
 class SteadyLoad {
  public:
   explicit SteadyLoad(std::vector<const Daemon*> hosts)
       : hosts_(std::move(hosts)) {
     for (int n = 0; n < kCallers; ++n) {
-      callers_.emplace_back([this] { CallInALoop(); });
+      callers_.emplace_back([this] { CallContinuously(); });
     }
   }
   ~SteadyLoad() { Finish(); }
 
-  void AwaitMore(int calls) {
+  void WaitForCalls(int calls) {
     const int until = answered + calls;
     while (answered < until) {
       std::this_thread::sleep_for(milliseconds(1));
     }
   }
   void Finish() {
-    enough_ = true;
+    stopping_ = true;
     for (std::thread& it : callers_) {
       if (it.joinable()) {
         it.join();
@@ -99,30 +99,30 @@
     return hosts_.front()->Ready() ? *hosts_.front() : *hosts_.back();
   }
 
-  void CallInALoop() {
-    while (!enough_) {
+  void CallContinuously() {
+    while (!stopping_) {
       httplib::Client client("127.0.0.1", FirstReady().caller_port());
       client.set_keep_alive(true);
       client.set_tcp_nodelay(true);
       bool open = true;
-      while (open && !enough_) {
+      while (open && !stopping_) {
         const auto answer = client.Post(
             "/dispatch/cut", {{"Damasktack-Key", "key"}}, "", "text/plain");
-        const bool whole = answer && answer->status == 200;
-        answered += whole ? 1 : 0;
-        cut += whole ? 0 : 1;
+        const bool is_complete = answer && answer->status == 200;
+        answered += is_complete ? 1 : 0;
+        cut += is_complete ? 0 : 1;
         open = answer && answer->get_header_value("Connection") != "close";
       }
     }
   }
 
   const std::vector<const Daemon*> hosts_;
-  std::atomic<bool> enough_ = false;
+  std::atomic<bool> stopping_ = false;
   std::vector<std::thread> callers_;
 };
 
-struct Stage {
-  Stage()
+struct TestSetup {
+  TestSetup()
       : first(StandinEndpointOptions{.slots = 64}),
         second(StandinEndpointOptions{.slots = 64}) {
     platform_port = platform.Start(0);
@@ -149,44 +149,44 @@
   std::uint16_t second_port = 0;
 };
 
-// A host is stopped while callers send without a pause. It says that it is not
-// ready, serves through the platform's lag, closes each connection with an
-// answer, and ends once nobody is left: every command has its answer, from it
-// or from the other host.
+// A host that is stopped under load reports "not ready", serves during the
+// configured lag, closes each connection after a response and ends when no
+// caller is left. Every command must be answered by this host or by the other
+// one.
 TEST_CASE("a planned stop of a host cuts no call") {
-  Stage stage;
-  const auto stopping = StartDaemon("h1", stage.platform_port);
-  const auto staying = StartDaemon("h2", stage.platform_port);
+  TestSetup setup;
+  const auto stopping = StartDaemon("h1", setup.platform_port);
+  const auto staying = StartDaemon("h2", setup.platform_port);
   SteadyLoad load({stopping.get(), staying.get()});
-  load.AwaitMore(300);
+  load.WaitForCalls(300);
   stopping->Stop();
-  load.AwaitMore(300);
+  load.WaitForCalls(300);
   load.Finish();
   CHECK(load.cut == 0);
-  CHECK(stage.first.executions() + stage.second.executions() ==
+  CHECK(setup.first.executions() + setup.second.executions() ==
         static_cast<std::uint64_t>(load.answered));
 }
 
-// An endpoint that is to be stopped reports that it drains, on the answers it
-// still gives, and the list names it as leaving. It gets no new work, and its
-// end meets no call.
+// An endpoint that is about to stop reports in its responses that it is
+// draining, and the list shows it as leaving. It must get no new calls, so that
+// its end aborts none.
 TEST_CASE("a planned stop of an endpoint cuts no call") {
-  Stage stage;
-  const auto daemon = StartDaemon("h1", stage.platform_port);
+  TestSetup setup;
+  const auto daemon = StartDaemon("h1", setup.platform_port);
   SteadyLoad load({daemon.get()});
-  load.AwaitMore(300);
-  stage.first.SetDraining(true);
-  stage.PublishServices("leaving");
+  load.WaitForCalls(300);
+  setup.first.SetDraining(true);
+  setup.PublishServices("leaving");
   std::uint64_t seen = 0;
   do {
-    seen = stage.first.executions();
-    load.AwaitMore(300);
-  } while (stage.first.executions() != seen);
-  stage.first.Stop();
-  load.AwaitMore(300);
+    seen = setup.first.executions();
+    load.WaitForCalls(300);
+  } while (setup.first.executions() != seen);
+  setup.first.Stop();
+  load.WaitForCalls(300);
   load.Finish();
   CHECK(load.cut == 0);
-  CHECK(stage.first.executions() == seen);
+  CHECK(setup.first.executions() == seen);
 }
 
 }  // namespace
--- a/tests/main/test_leaving_endpoints.cc
+++ b/tests/main/test_leaving_endpoints.cc
@@ -18,12 +18,12 @@
 
 constexpr std::size_t kHosts = 1;
 constexpr std::size_t kEndpoints = 4;
-// The first ones leave.
-constexpr std::size_t kLeaving = 3;
-constexpr seconds kUntilLeaving(1);
+// Number of endpoints that leave: the first ones.
+constexpr std::size_t kLeavingEndpoints = 3;
+constexpr seconds kTimeBeforeLeaving(1);
 constexpr milliseconds kDrainTime(2000);
-constexpr seconds kLength(7);
-constexpr milliseconds kBetweenCalls(20);
+constexpr seconds kTestDuration(7);
+constexpr milliseconds kCallInterval(20);
 
 void SendCallsUntil(TimePoint end,
                     std::uint16_t port,
@@ -32,23 +32,24 @@
   httplib::Client client("127.0.0.1", port);
   while (Clock::now() < end) {
     CHECK(client.Get(path, headers));
-    std::this_thread::sleep_for(kBetweenCalls);
+    std::this_thread::sleep_for(kCallInterval);
   }
 }
 
-// ScriptedEndpoints are called, then say that they leave, and are called no
-// more once they had time to drain after the first answer that said so.
+// Sends calls, lets the first endpoints announce that they leave, and checks
+// that each gets no more calls once the drain time after its first such
+// response has passed.
 void CheckLeaving(const ScriptedEndpoints& endpoints,
-                  const ScriptedEndpoint::Script& say_leaving,
+                  const ScriptedEndpoint::Script& announce_leaving,
                   const std::function<void(TimePoint)>& send_until) {
   const TimePoint start = Clock::now();
-  const TimePoint leaving = start + kUntilLeaving;
+  const TimePoint leaving = start + kTimeBeforeLeaving;
   send_until(leaving);
-  for (std::size_t n = 0; n < kLeaving; ++n) {
-    endpoints[n]->SetScript(say_leaving);
+  for (std::size_t n = 0; n < kLeavingEndpoints; ++n) {
+    endpoints[n]->SetScript(announce_leaving);
   }
-  send_until(start + kLength);
-  for (std::size_t n = 0; n < kLeaving; ++n) {
+  send_until(start + kTestDuration);
+  for (std::size_t n = 0; n < kLeavingEndpoints; ++n) {
     const std::vector<TimePoint> arrivals = endpoints[n]->arrivals();
     const auto first = std::ranges::lower_bound(arrivals, leaving);
     if (first != arrivals.end()) {
@@ -60,9 +61,9 @@
   CHECK(others.back() > leaving + kDrainTime);
 }
 
-// Guards against a host that goes by the published list only, which may say
-// later, or never, that an endpoint leaves.
-TEST_CASE("an endpoint that says that it leaves gets no more calls") {
+// Guards against a host that relies on the published list only, which may
+// report late, or never, that an endpoint leaves.
+TEST_CASE("an endpoint that announces that it leaves gets no more calls") {
   const ScriptedEndpoints endpoints =
       MakeScriptedEndpoints(kEndpoints, StoreFleet::kCall);
   const StoreFleet fleet(kHosts, PortsOf(endpoints));
@@ -79,8 +80,9 @@
       });
 }
 
-// The same on damasktack's own interface.
-TEST_CASE("a customer's endpoint that says that it leaves gets no more calls") {
+// The same for damasktack's own protocol.
+TEST_CASE(
+    "a customer's endpoint that announces that it leaves gets no more calls") {
   const ScriptedEndpoints endpoints =
       MakeScriptedEndpoints(kEndpoints, DocumentFleet::kCall);
   const DocumentFleet fleet(kHosts, PortsOf(endpoints));
--- a/tests/main/test_load_generator.cc
+++ b/tests/main/test_load_generator.cc
@@ -7,7 +7,7 @@
 namespace damasktack {
 namespace {
 
-LoadPlan PlanFor(std::uint16_t port) {
+LoadPlan MakePlan(std::uint16_t port) {
   LoadPlan plan;
   plan.duration = std::chrono::milliseconds(500);
   plan.entries.push_back({SocketAddress{"127.0.0.1", port}, std::nullopt});
@@ -21,17 +21,18 @@
   return plan;
 }
 
-// The caller sees late answers. The endpoint has one slot and takes 20 ms, at
-// four times the rate that it can serve; a generator that waited for each
-// answer before the next send would report 20 ms and hide the queue.
-TEST_CASE("latency counts from when a call was due, not from its send") {
+// Guards against coordinated omission: the endpoint has one slot, takes 20 ms
+// per call and gets four times the rate that it can serve. A generator that
+// waited for each response before the next send would report 20 ms and hide the
+// queue.
+TEST_CASE("latency is measured from when a call was due, not from its send") {
   StandinEndpointOptions options;
   options.slots = 1;
   options.queue = 1000;
   options.shape =
       ServiceTime{ServiceShape::kFixed, std::chrono::milliseconds(20)};
   StandinEndpoint endpoint(options);
-  LoadPlan plan = PlanFor(endpoint.Start(0));
+  LoadPlan plan = MakePlan(endpoint.Start(0));
   const LoadRecords records = LoadGenerator(plan).Run();
   Duration longest{};
   for (const LoadRecord& it : records) {
@@ -42,14 +43,15 @@
   CHECK(longest > (records.size() / 2) * std::chrono::milliseconds(20));
 }
 
-TEST_CASE("a refused entry is passed over and a cut answer is told apart") {
+TEST_CASE(
+    "a refused connection is skipped and a truncated response is recorded") {
   StandinEndpoint endpoint(StandinEndpointOptions{});
-  LoadPlan plan = PlanFor(endpoint.Start(0));
-  StandinEndpoint gone(StandinEndpointOptions{});
-  const std::uint16_t refused = gone.Start(0);
+  LoadPlan plan = MakePlan(endpoint.Start(0));
+  StandinEndpoint stopped(StandinEndpointOptions{});
+  const std::uint16_t refused = stopped.Start(0);
   EndpointFaults silent;
   silent.drain = DrainMode::kSilent;
-  gone.SetFaults(silent);
+  stopped.SetFaults(silent);
   plan.entries.push_back({SocketAddress{"127.0.0.1", refused}, std::nullopt});
   EndpointFaults half;
   half.answer = AnswerFault::kHalf;
@@ -60,7 +62,7 @@
         records.size());
 }
 
-TEST_CASE("a plan's fault is named with its place") {
+TEST_CASE("an error in a plan names its location") {
   const auto error_of = [](std::string_view text) {
     return Try(
         [&]() -> leaf::result<std::string> {
--- a/tests/main/test_requested_rests.cc
+++ b/tests/main/test_requested_rests.cc
@@ -19,35 +19,35 @@
 
 constexpr std::size_t kHosts = 1;
 constexpr std::size_t kEndpoints = 4;
-// Of the calls that an endpoint gets it refuses one in so many, and asks for
-// rest.
-constexpr std::size_t kRefused = 3;
-constexpr seconds kRest(3);
-// What was under way when an endpoint asked for rest still arrives.
-constexpr milliseconds kUnderWay(500);
-constexpr std::ptrdiff_t kMost = 2;
+// Each endpoint rejects every third call and requests a pause with Retry-After.
+constexpr std::size_t kRejectionInterval = 3;
+constexpr seconds kPause(3);
+// Calls that were in flight when an endpoint requested a pause still arrive
+// within this time.
+constexpr milliseconds kInFlightTime(500);
+constexpr std::ptrdiff_t kMaxCallsInPause = 2;
 constexpr std::size_t kCallers = 4;
-constexpr seconds kLength(8);
-constexpr milliseconds kBetweenCalls(20);
+constexpr seconds kTestDuration(8);
+constexpr milliseconds kCallInterval(20);
 
-// Refuses calls and asks for rest; notes when.
-class RestingScript {
+// Script that rejects calls with a requested pause and records when.
+class PausingScript {
  public:
-  explicit RestingScript(std::string shed_header)
+  explicit PausingScript(std::string shed_header)
       : shed_header_(std::move(shed_header)) {}
 
   void operator()(ScriptedEndpoint::Response& answer) {
-    if (++calls_ % kRefused != 0) {
+    if (++calls_ % kRejectionInterval != 0) {
       return;
     }
-    refusals.push_back(Clock::now());
+    rejections.push_back(Clock::now());
     answer.result(503);
     answer.set(shed_header_, "1");
-    answer.set("Retry-After", std::to_string(kRest.count()));
+    answer.set("Retry-After", std::to_string(kPause.count()));
   }
 
-  // To be read once no call comes any more.
-  std::vector<TimePoint> refusals;
+  // Must be read only after the last call.
+  std::vector<TimePoint> rejections;
 
  private:
   const std::string shed_header_;
@@ -57,14 +57,14 @@
 void SendCalls(std::uint16_t port,
                const std::string& path,
                const httplib::Headers& headers) {
-  const TimePoint end = Clock::now() + kLength;
+  const TimePoint end = Clock::now() + kTestDuration;
   std::vector<std::thread> callers;
   for (std::size_t n = 0; n < kCallers; ++n) {
     callers.emplace_back([&] {
       httplib::Client client("127.0.0.1", port);
       while (Clock::now() < end) {
         CHECK(client.Get(path, headers));
-        std::this_thread::sleep_for(kBetweenCalls);
+        std::this_thread::sleep_for(kCallInterval);
       }
     });
   }
@@ -73,44 +73,46 @@
   }
 }
 
-// The most calls that came within one rest.
-std::ptrdiff_t WorstRest(const std::vector<TimePoint>& arrivals,
-                         const std::vector<TimePoint>& refusals) {
+// Returns the maximum number of calls that arrived during one pause.
+std::ptrdiff_t MaxCallsInPause(const std::vector<TimePoint>& arrivals,
+                               const std::vector<TimePoint>& rejections) {
   std::ptrdiff_t worst = 0;
-  for (const TimePoint refused : refusals) {
-    const auto in_rest = [&](TimePoint it) {
-      return it >= refused + kUnderWay && it < refused + kRest;
+  for (const TimePoint rejected : rejections) {
+    const auto in_pause = [&](TimePoint it) {
+      return it >= rejected + kInFlightTime && it < rejected + kPause;
     };
-    worst = std::max(worst, std::ranges::count_if(arrivals, in_rest));
+    worst = std::max(worst, std::ranges::count_if(arrivals, in_pause));
   }
   return worst;
 }
 
-// Sends calls to endpoints that ask for rest, and checks that they get it.
-void CheckRests(const ScriptedEndpoints& endpoints,
-                const std::string& shed_header,
-                const std::function<void()>& send_calls) {
-  std::vector<RestingScript> scripts(kEndpoints, RestingScript(shed_header));
+// Sends calls to endpoints that request pauses and checks that they get almost
+// no calls during these.
+void CheckPauses(const ScriptedEndpoints& endpoints,
+                 const std::string& shed_header,
+                 const std::function<void()>& send_calls) {
+  std::vector<PausingScript> scripts(kEndpoints, PausingScript(shed_header));
   for (std::size_t n = 0; n < kEndpoints; ++n) {
     endpoints[n]->SetScript(std::ref(scripts[n]));
   }
   send_calls();
-  std::size_t refusals = 0;
+  std::size_t rejections = 0;
   for (std::size_t n = 0; n < kEndpoints; ++n) {
     endpoints[n]->SetScript({});
-    refusals += scripts[n].refusals.size();
-    CHECK(WorstRest(endpoints[n]->arrivals(), scripts[n].refusals) <= kMost);
+    rejections += scripts[n].rejections.size();
+    CHECK(MaxCallsInPause(endpoints[n]->arrivals(), scripts[n].rejections) <=
+          kMaxCallsInPause);
   }
-  CHECK(refusals > 0);
+  CHECK(rejections > 0);
 }
 
-// Guards against a host that goes on calling an endpoint which has refused it
-// and asked for rest.
-TEST_CASE("an endpoint that asks for rest gets it") {
+// Guards against a host that keeps calling an endpoint which has rejected a
+// call and requested a pause.
+TEST_CASE("an endpoint that requests a pause gets no calls meanwhile") {
   const ScriptedEndpoints endpoints =
       MakeScriptedEndpoints(kEndpoints, StoreFleet::kCall);
   const StoreFleet fleet(kHosts, PortsOf(endpoints));
-  CheckRests(endpoints, "X-Damasktack-Not-Executed", [&] {
+  CheckPauses(endpoints, "X-Damasktack-Not-Executed", [&] {
     SendCalls(fleet.ports()[0], "/x/call",
               {{"Host", "a.example"},
                {StoreFleet::kCall, "c-1"},
@@ -118,12 +120,13 @@
   });
 }
 
-// The same on damasktack's own interface.
-TEST_CASE("a customer's endpoint that asks for rest gets it") {
+// The same for damasktack's own protocol.
+TEST_CASE(
+    "a customer's endpoint that requests a pause gets no calls meanwhile") {
   const ScriptedEndpoints endpoints =
       MakeScriptedEndpoints(kEndpoints, DocumentFleet::kCall);
   const DocumentFleet fleet(kHosts, PortsOf(endpoints));
-  CheckRests(endpoints, "Endpoint-Shed", [&] {
+  CheckPauses(endpoints, "Endpoint-Shed", [&] {
     SendCalls(fleet.ports()[0], "/dispatch/call",
               {{"Damasktack-Key", "key"}, {"Damasktack-Deadline-Ms", "1500"}});
   });
--- a/tests/main/test_settings.cc
+++ b/tests/main/test_settings.cc
@@ -8,8 +8,8 @@
 namespace damasktack {
 namespace {
 
-// Sound settings, as JSON that a test then spoils.
-Json Sound() {
+// Returns valid settings as JSON, which tests then modify.
+Json MakeValidSettings() {
   return Json::parse(R"({
     "host": "h1", "zone": "z1",
     "proxy": {"listen": "127.0.0.1:8080"},
@@ -19,9 +19,9 @@
   })");
 }
 
-// The same for a deployment that has a store in place of documents.
-Json SoundWithStore() {
-  Json json = Sound();
+// Returns valid settings of a deployment with a store instead of documents.
+Json MakeValidStoreSettings() {
+  Json json = MakeValidSettings();
   json.erase("platform");
   json["store"] = Json{{"address", "10.0.0.9:80"}};
   return json;
@@ -40,7 +40,7 @@
   return ErrorOf(json.dump());
 }
 
-Settings Parsed(const Json& json) {
+Settings Parse(const Json& json) {
   return Try([&] { return ParseSettings(json.dump(), "file"); },
              [](const Error& error) {
                FAIL(ToString(error));
@@ -48,53 +48,54 @@
              });
 }
 
-TEST_CASE("zones have the regions that the settings name") {
-  Json json = SoundWithStore();
+TEST_CASE("zones are mapped to their regions") {
+  Json json = MakeValidStoreSettings();
   json["regions"] = Json{{"z1", "north"}, {"z2", "south"}};
-  const Settings settings = Parsed(json);
+  const Settings settings = Parse(json);
   CHECK(settings.regions.at(ZoneId("z2")) == RegionId("south"));
-  CHECK(Parsed(SoundWithStore()).regions.empty());
+  CHECK(Parse(MakeValidStoreSettings()).regions.empty());
   json["regions"]["z1"] = 7;
   const Error error = ErrorOf(json);
   CHECK(error.kind == ErrorKind::kWrongType);
   CHECK(!error.remedy.empty());
 }
 
-// An operator changes a file and has the hosts read it again. The log has to
-// say what is in force now and what is not, and must not show a key.
-TEST_CASE("changed settings are told by whether a running host takes them in") {
-  const Settings running = Parsed(SoundWithStore());
+// After a reload of the settings the log must tell which changes are in force
+// and which need a restart, and must not show a key.
+TEST_CASE(
+    "changed settings are grouped by whether a running host applies them") {
+  const Settings running = Parse(MakeValidStoreSettings());
   CHECK(CompareSettings(running, running).applied.empty());
   CHECK(CompareSettings(running, running).after_restart.empty());
-  Json json = SoundWithStore();
+  Json json = MakeValidStoreSettings();
   json["fleet"]["seeds"] = Json::array({"10.0.0.1:8544"});
   json["fleet"]["key"] = "another-key-of-it";
   json["stop"] = Json{{"lag", "3s"}};
   json["proxy"]["threads"] = 4;
-  const SettingsChange change = CompareSettings(running, Parsed(json));
+  const SettingsChange change = CompareSettings(running, Parse(json));
   CHECK(change.applied == std::vector<std::string>{"fleet.seeds", "stop.lag"});
   CHECK(change.after_restart ==
         std::vector<std::string>{"proxy.threads", "fleet.key"});
 }
 
-TEST_CASE("sound settings with comments are taken") {
-  CHECK(ErrorOf("// why\n" + Sound().dump()) == Error{});
+TEST_CASE("valid settings with comments are accepted") {
+  CHECK(ErrorOf("// why\n" + MakeValidSettings().dump()) == Error{});
 }
 
 TEST_CASE("a host reads documents or a store, and not both") {
-  CHECK(ErrorOf(SoundWithStore()) == Error{});
-  Json both = SoundWithStore();
-  both["platform"] = Sound()["platform"];
+  CHECK(ErrorOf(MakeValidStoreSettings()) == Error{});
+  Json both = MakeValidStoreSettings();
+  both["platform"] = MakeValidSettings()["platform"];
   CHECK(ErrorOf(both).kind == ErrorKind::kDuplicate);
 }
 
-TEST_CASE("each required setting is missed by name") {
+TEST_CASE("a missing required setting is reported by its name") {
   for (const char* it : {"/host", "/zone", "/proxy", "/proxy/listen", "/admin",
                          "/admin/listen", "/admin/token", "/platform",
                          "/platform/address", "/fleet/listen", "/fleet/key"}) {
     CAPTURE(it);
     const Json::json_pointer pointer(it);
-    Json json = Sound();
+    Json json = MakeValidSettings();
     json.at(pointer.parent_pointer()).erase(pointer.back());
     const Error error = ErrorOf(json);
     CHECK(error.kind == ErrorKind::kMissingKey);
@@ -103,16 +104,17 @@
   }
 }
 
-// Every optional setting that the page lists is known to the parser, and a
-// value of the wrong type is refused under its key.
-TEST_CASE("each described setting refuses a value that is none") {
+// Every described setting must be known to the parser, and a value of the wrong
+// type must be rejected under its key.
+TEST_CASE("each described setting rejects a value of the wrong type") {
   for (const SettingDescription& it : DescribeSettings()) {
     CAPTURE(it.key);
     std::string path = "/" + it.key;
     for (char& letter : path) {
       letter = letter == '.' ? '/' : letter;
     }
-    Json json = it.key.starts_with("store.") ? SoundWithStore() : Sound();
+    Json json = it.key.starts_with("store.") ? MakeValidStoreSettings()
+                                             : MakeValidSettings();
     json[Json::json_pointer(path)] = Json::array({1});
     const Error error = ErrorOf(json);
     CHECK(error.where == it.key);
@@ -121,8 +123,8 @@
   }
 }
 
-TEST_CASE("an unknown key is refused, its value not shown") {
-  Json json = Sound();
+TEST_CASE("an unknown key is rejected and its value not shown") {
+  Json json = MakeValidSettings();
   json["admin"]["tokn"] = "secret-value";
   const Error error = ErrorOf(json);
   CHECK(error.kind == ErrorKind::kUnknownKey);
@@ -131,17 +133,19 @@
   CHECK(error.remedy.find("token_file") != std::string::npos);
 }
 
-TEST_CASE("a fault beside the token does not show it") {
+TEST_CASE("an error near the token does not show it") {
   CHECK(ToString(
             ErrorOf(std::string(R"({"admin": {"token": "secret-value" x}})")))
             .find("secret") == std::string::npos);
-  Json json = Sound();
+  Json json = MakeValidSettings();
   json["admin"]["token"] = 12345678;
   CHECK(ToString(ErrorOf(json)).find("12345678") == std::string::npos);
 }
 
-TEST_CASE("administration stays on loopback unless it is said otherwise") {
-  Json json = Sound();
+TEST_CASE(
+    "the administration API listens on loopback unless remote access is "
+    "allowed") {
+  Json json = MakeValidSettings();
   json["admin"]["listen"] = "10.0.0.1:8081";
   const Error error = ErrorOf(json);
   CHECK(error.where == "admin.listen");
@@ -153,19 +157,19 @@
   CHECK(ErrorOf(json) == Error{});
 }
 
-TEST_CASE("the token has a least length and one source") {
-  Json json = Sound();
+TEST_CASE("the token has a minimum length and one source") {
+  Json json = MakeValidSettings();
   json["admin"]["token"] = "short";
   CHECK(ErrorOf(json).where == "admin.token");
-  json = Sound();
+  json = MakeValidSettings();
   json["admin"]["token_file"] = "/nowhere";
   CHECK(ErrorOf(json).where == "admin.token");
   json["admin"].erase("token");
   CHECK(ErrorOf(json).kind == ErrorKind::kFileUnreadable);
 }
 
-TEST_CASE("units and ranges") {
-  Json json = Sound();
+TEST_CASE("wrong units, ranges and addresses are rejected") {
+  Json json = MakeValidSettings();
   json["stop"]["lag"] = 5;
   CHECK(ErrorOf(json).kind == ErrorKind::kWrongUnit);
   json["stop"]["lag"] = "11min";
--- a/tests/main/test_stated_limits.cc
+++ b/tests/main/test_stated_limits.cc
@@ -17,42 +17,43 @@
 
 constexpr std::size_t kHosts = 3;
 constexpr std::size_t kEndpoints = 4;
-// The first ones state a limit.
-constexpr std::size_t kLimited = 3;
-// Requests a second that each of them takes from all hosts together.
+// Number of endpoints that state a rate limit: the first ones.
+constexpr std::size_t kLimitedEndpoints = 3;
+// Requests per second that each of them accepts from all hosts together.
 constexpr double kLimit = 1;
-constexpr seconds kUntilInForce(3);
+constexpr seconds kTimeUntilInForce(3);
 constexpr seconds kWindow(4);
-// In a window, as the rule on stated limits has it.
-constexpr double kMost = 1.5 * kLimit * kWindow.count() + 5;
-constexpr seconds kLength(10);
-constexpr milliseconds kBetweenCalls(30);
+// Maximum requests in a window according to the rule on stated limits.
+constexpr double kMaxRequests = 1.5 * kLimit * kWindow.count() + 5;
+constexpr seconds kTestDuration(10);
+constexpr milliseconds kCallInterval(30);
 constexpr auto kHttpOk = 200;
 
-// A host that has just started has no part of its customers' limits yet.
-void AwaitService(httplib::Client& client,
-                  const std::string& path,
-                  const httplib::Headers& headers) {
+// Waits until a host serves calls: a host that has just started holds no part
+// of its customers' limits yet.
+void WaitUntilServed(httplib::Client& client,
+                     const std::string& path,
+                     const httplib::Headers& headers) {
   CHECK(detail::Eventually([&] {
     const auto answer = client.Get(path, headers);
     return answer && answer->status == kHttpOk;
   }));
 }
 
-// Sends calls to all hosts at once, one after the other at each.
+// Sends calls to all hosts concurrently, one at a time to each host.
 void SendCalls(const std::vector<std::uint16_t>& hosts,
                const std::string& path,
                const httplib::Headers& headers) {
-  const TimePoint end = Clock::now() + kLength;
+  const TimePoint end = Clock::now() + kTestDuration;
   std::vector<std::thread> callers;
   for (const std::uint16_t port : hosts) {
     callers.emplace_back([&, port] {
       httplib::Client client("127.0.0.1", port);
-      AwaitService(client, path, headers);
+      WaitUntilServed(client, path, headers);
       while (Clock::now() < end) {
         const auto answer = client.Get(path, headers);
         CHECK((answer && answer->status == kHttpOk));
-        std::this_thread::sleep_for(kBetweenCalls);
+        std::this_thread::sleep_for(kCallInterval);
       }
     });
   }
@@ -61,13 +62,14 @@
   }
 }
 
-// The most arrivals within a window that begins once the limit is in force.
-std::ptrdiff_t WorstWindow(const ScriptedEndpoint& endpoint) {
+// Returns the maximum number of arrivals within a window that starts after the
+// limit is in force.
+std::ptrdiff_t MaxArrivalsInWindow(const ScriptedEndpoint& endpoint) {
   const std::vector<TimePoint> arrivals = endpoint.arrivals();
   if (arrivals.empty()) {
     return 0;
   }
-  const TimePoint in_force = arrivals.front() + kUntilInForce;
+  const TimePoint in_force = arrivals.front() + kTimeUntilInForce;
   std::ptrdiff_t worst = 0;
   for (auto it = arrivals.begin(); it != arrivals.end(); ++it) {
     if (*it >= in_force) {
@@ -79,7 +81,7 @@
 }
 
 void StateLimit(const ScriptedEndpoints& endpoints, const std::string& header) {
-  for (std::size_t n = 0; n < kLimited; ++n) {
+  for (std::size_t n = 0; n < kLimitedEndpoints; ++n) {
     endpoints[n]->SetScript([header](ScriptedEndpoint::Response& answer) {
       answer.set(header, std::to_string(kLimit));
     });
@@ -87,13 +89,14 @@
 }
 
 void CheckWithinLimit(const ScriptedEndpoints& endpoints) {
-  for (std::size_t n = 0; n < kLimited; ++n) {
-    CHECK(static_cast<double>(WorstWindow(*endpoints[n])) <= kMost);
+  for (std::size_t n = 0; n < kLimitedEndpoints; ++n) {
+    CHECK(static_cast<double>(MaxArrivalsInWindow(*endpoints[n])) <=
+          kMaxRequests);
   }
 }
 
-// Guards against hosts that pass over the limit an endpoint states in its
-// answers, or each take all of it.
+// Guards against hosts that ignore the limit that an endpoint states in its
+// responses, or that each use the whole of it.
 TEST_CASE("an endpoint that states a rate limit gets no more from all hosts") {
   const ScriptedEndpoints endpoints =
       MakeScriptedEndpoints(kEndpoints, StoreFleet::kCall);
@@ -106,8 +109,8 @@
   CheckWithinLimit(endpoints);
 }
 
-// The same on damasktack's own interface.
-TEST_CASE("a customer's endpoint that states a rate limit gets no more") {
+// The same for damasktack's own protocol.
+TEST_CASE("a customer's endpoint that states a rate limit gets no more calls") {
   const ScriptedEndpoints endpoints =
       MakeScriptedEndpoints(kEndpoints, DocumentFleet::kCall);
   StateLimit(endpoints, "Endpoint-Limit");
--- a/tests/main/test_store_daemon.cc
+++ b/tests/main/test_store_daemon.cc
@@ -24,7 +24,7 @@
   return holds();
 }
 
-std::string Book(int version, const std::string& prefix) {
+std::string RouteTableJson(int version, const std::string& prefix) {
   return R"({"version":)" + std::to_string(version) +
          R"(,"routes":{"columns":["name","host","prefix","kind","timeout_ms",
 "service"],"rows":[["r","a.example",")" +
@@ -32,13 +32,13 @@
 "services":{"columns":["name"],"rows":[["s"]]}})";
 }
 
-std::string Endpoint(int port) {
+std::string EndpointJson(int port) {
   return R"({"address":"127.0.0.1:)" + std::to_string(port) +
          R"(","info":{"service":"s","version":"v1","zone":"z1","slots":4},
 "status":{"state":"ready","sequence":1,"cold_ms":0}})";
 }
 
-// An endpoint that answers each call at once, after `takes`.
+// An endpoint that answers each call after `takes`.
 class CallEndpoint {
  public:
   explicit CallEndpoint(Duration takes) {
@@ -92,112 +92,110 @@
   return daemon;
 }
 
-httplib::Result Ask(const StoreDaemon& daemon, const std::string& path) {
+httplib::Result SendGet(const StoreDaemon& daemon, const std::string& path) {
   httplib::Client client("127.0.0.1", daemon.caller_port());
   return client.Get(path, {{"Host", "a.example"},
                            {kCall, "c-1"},
                            {"X-Damasktack-Deadline-Ms", "2000"}});
 }
 
-TEST_CASE("a host that knows no routes answers 503 and is not ready") {
+TEST_CASE("a host without routes answers 503 and is not ready") {
   const StandinStore store;
   const auto daemon = StartDaemon(store.port());
-  const auto answer = Ask(*daemon, "/x/1");
+  const auto answer = SendGet(*daemon, "/x/1");
   REQUIRE(answer);
   CHECK(answer->status == 503);
   CHECK(!daemon->Ready());
 }
 
-TEST_CASE("routes and endpoints come into force as the store has them") {
+TEST_CASE("routes and endpoints are loaded from the store") {
   const CallEndpoint endpoint(milliseconds(0));
   StandinStore store;
   const auto daemon = StartDaemon(store.port());
-  store.PutJson("op/config", Book(3, "/x/"));
-  store.PutJson("servers/i-1", Endpoint(endpoint.port()));
+  store.PutJson("op/config", RouteTableJson(3, "/x/"));
+  store.PutJson("servers/i-1", EndpointJson(endpoint.port()));
   CHECK(Eventually([&] { return daemon->Ready(); }));
   CHECK(Eventually([&] {
-    const auto answer = Ask(*daemon, "/x/1");
+    const auto answer = SendGet(*daemon, "/x/1");
     return answer && answer->status == 200 && answer->body == "ran";
   }));
-  // A value that cannot be followed leaves the last good one in force, and an
-  // older version does not come back.
-  store.PutJson("op/config", Book(4, "no-slashes"));
-  store.PutJson("op/config", Book(2, "/old/"));
-  store.PutJson("op/config", Book(5, "/y/"));
-  CHECK(Eventually([&] { return Ask(*daemon, "/x/1")->status == 404; }));
-  CHECK(Ask(*daemon, "/old/1")->status == 404);
-  store.PutJson("op/config", Book(6, "/x/"));
-  CHECK(Eventually([&] { return Ask(*daemon, "/x/1")->status == 200; }));
+  // An invalid value leaves the last valid one in force, and an older version
+  // is not accepted.
+  store.PutJson("op/config", RouteTableJson(4, "no-slashes"));
+  store.PutJson("op/config", RouteTableJson(2, "/old/"));
+  store.PutJson("op/config", RouteTableJson(5, "/y/"));
+  CHECK(Eventually([&] { return SendGet(*daemon, "/x/1")->status == 404; }));
+  CHECK(SendGet(*daemon, "/old/1")->status == 404);
+  store.PutJson("op/config", RouteTableJson(6, "/x/"));
+  CHECK(Eventually([&] { return SendGet(*daemon, "/x/1")->status == 200; }));
 }
 
-// An operator empties a zone for a repair and requests go on reaching it. All
-// endpoints are in that zone: callers hear that their requests were not run,
-// operators see the drain in the metrics, and the zone serves again once the
-// drain is taken back.
-TEST_CASE("a drain of a zone comes into force and ends") {
+// All endpoints are in a zone that an operator drains. Requests must not reach
+// it: callers are told that their calls were not run, the metrics show the
+// drain, and the zone serves again when the drain ends.
+TEST_CASE("a drained zone gets no calls until the drain ends") {
   const CallEndpoint endpoint(milliseconds(0));
   StandinStore store;
-  store.PutJson("op/config", Book(3, "/x/"));
-  store.PutJson("servers/i-1", Endpoint(endpoint.port()));
+  store.PutJson("op/config", RouteTableJson(3, "/x/"));
+  store.PutJson("servers/i-1", EndpointJson(endpoint.port()));
   const auto daemon = StartDaemon(store.port());
-  CHECK(Eventually([&] { return Ask(*daemon, "/x/1")->status == 200; }));
+  CHECK(Eventually([&] { return SendGet(*daemon, "/x/1")->status == 200; }));
   const std::string gauge = R"(damasktack_zone_drained{zone="z1"} 1)";
   store.PutJson("op/evacuate/z1", "{}");
-  CHECK(Eventually([&] { return Ask(*daemon, "/x/1")->status == 503; }));
+  CHECK(Eventually([&] { return SendGet(*daemon, "/x/1")->status == 503; }));
   CHECK(daemon->Metrics().find(gauge) != std::string::npos);
   store.Remove("op/evacuate/z1");
-  CHECK(Eventually([&] { return Ask(*daemon, "/x/1")->status == 200; }));
+  CHECK(Eventually([&] { return SendGet(*daemon, "/x/1")->status == 200; }));
   CHECK(daemon->Metrics().find(gauge) == std::string::npos);
 }
 
-TEST_CASE("calls are served while the store is away") {
+TEST_CASE("calls are served while the store is unavailable") {
   const CallEndpoint endpoint(milliseconds(0));
   StandinStore store;
-  store.PutJson("op/config", Book(3, "/x/"));
-  store.PutJson("servers/i-1", Endpoint(endpoint.port()));
+  store.PutJson("op/config", RouteTableJson(3, "/x/"));
+  store.PutJson("servers/i-1", EndpointJson(endpoint.port()));
   const auto daemon = StartDaemon(store.port());
-  CHECK(Eventually([&] { return Ask(*daemon, "/x/1")->status == 200; }));
+  CHECK(Eventually([&] { return SendGet(*daemon, "/x/1")->status == 200; }));
   store.RefuseWith(503);
   std::this_thread::sleep_for(milliseconds(300));
-  CHECK(Ask(*daemon, "/x/1")->status == 200);
+  CHECK(SendGet(*daemon, "/x/1")->status == 200);
   store.RefuseWith(0);
   store.Remove("servers/i-1");
-  store.PutJson("op/config", Book(4, "/y/"));
-  CHECK(Eventually([&] { return Ask(*daemon, "/x/1")->status == 404; }));
+  store.PutJson("op/config", RouteTableJson(4, "/y/"));
+  CHECK(Eventually([&] { return SendGet(*daemon, "/x/1")->status == 404; }));
 }
 
-// A caller's request is in flight when the host is told to stop, and another
-// caller connects after the host has stopped taking connections. The first gets
-// its answer; the second is refused before anything of it was read.
-TEST_CASE("a stop finishes what it has taken and takes nothing late") {
+// A request is in flight when the host is told to stop, and another caller
+// connects after the host has stopped accepting connections. The first must get
+// its response; the second must be refused before anything is read.
+TEST_CASE("a stop finishes accepted calls and accepts no new ones") {
   const CallEndpoint endpoint(milliseconds(900));
   StandinStore store;
-  store.PutJson("op/config", Book(3, "/x/"));
-  store.PutJson("servers/i-1", Endpoint(endpoint.port()));
+  store.PutJson("op/config", RouteTableJson(3, "/x/"));
+  store.PutJson("servers/i-1", EndpointJson(endpoint.port()));
   const auto daemon = StartDaemon(store.port());
   REQUIRE(Eventually([&] {
     const auto services = daemon->Services();
     return !services.empty() && !services[0].balancer.table.endpoints.empty();
   }));
   int status = 0;
-  std::thread caller([&] { status = Ask(*daemon, "/x/1")->status; });
+  std::thread caller([&] { status = SendGet(*daemon, "/x/1")->status; });
   REQUIRE(Eventually([&] { return daemon->Host().calls_in_flight > 0; }));
   std::thread stop([&] { daemon->Stop(); });
-  CHECK(Eventually([&] { return !Ask(*daemon, "/none/"); }));
+  CHECK(Eventually([&] { return !SendGet(*daemon, "/none/"); }));
   caller.join();
   stop.join();
   CHECK(status == 200);
 }
 
-// A caller's report takes longer than most, and the host is told to stop while
-// its endpoint works on it. The platform would wait long enough; the host gave
-// up after a time of its own, and the caller lost an answer that was on its
-// way.
+// Guards against a stop that gives up after a fixed time although the platform
+// waits longer, so that a caller of a slow call loses a response that was about
+// to arrive.
 TEST_CASE("a stop waits for calls for as long as the platform does") {
   const CallEndpoint endpoint(milliseconds(900));
   StandinStore store;
-  store.PutJson("op/config", Book(3, "/x/"));
-  store.PutJson("servers/i-1", Endpoint(endpoint.port()));
+  store.PutJson("op/config", RouteTableJson(3, "/x/"));
+  store.PutJson("servers/i-1", EndpointJson(endpoint.port()));
   Settings settings = MakeSettings(store.port());
   settings.stop.longest = milliseconds(0);
   settings.stop.grace_seconds = 5;
@@ -207,7 +205,7 @@
   REQUIRE(Eventually([&] { return daemon.Ready(); }));
   int status = 0;
   std::thread caller([&] {
-    const auto answer = Ask(daemon, "/x/1");
+    const auto answer = SendGet(daemon, "/x/1");
     status = answer ? answer->status : 0;
   });
   REQUIRE(Eventually([&] { return daemon.Host().calls_in_flight > 0; }));
@@ -216,14 +214,14 @@
   CHECK(status == 200);
 }
 
-// Settings change while a call is at its endpoint. The call gets its answer,
-// and what the change says of the stop holds at the next stop: by the settings
-// of the start it would last ten minutes.
-TEST_CASE("changed settings are taken in without cutting a call") {
+// Settings are reloaded while a call is in flight. The call must be answered,
+// and the reloaded stop settings must apply at the next stop: with the initial
+// ones it would last ten minutes.
+TEST_CASE("changed settings are applied without aborting a call") {
   const CallEndpoint endpoint(milliseconds(300));
   StandinStore store;
-  store.PutJson("op/config", Book(3, "/x/"));
-  store.PutJson("servers/i-1", Endpoint(endpoint.port()));
+  store.PutJson("op/config", RouteTableJson(3, "/x/"));
+  store.PutJson("servers/i-1", EndpointJson(endpoint.port()));
   Settings settings = MakeSettings(store.port());
   settings.stop.lag = std::chrono::minutes(10);
   StoreDaemon daemon(settings);
@@ -231,7 +229,7 @@
       [](const Error& error) { FAIL(ToString(error)); });
   REQUIRE(Eventually([&] { return daemon.Ready(); }));
   int status = 0;
-  std::thread caller([&] { status = Ask(daemon, "/x/1")->status; });
+  std::thread caller([&] { status = SendGet(daemon, "/x/1")->status; });
   REQUIRE(Eventually([&] { return daemon.Host().calls_in_flight > 0; }));
   settings.stop.lag = milliseconds(20);
   settings.fleet.seeds = {{"127.0.0.1", 9}};
@@ -239,7 +237,7 @@
   daemon.Reload(settings);
   caller.join();
   CHECK(status == 200);
-  CHECK(Ask(daemon, "/x/1")->status == 200);
+  CHECK(SendGet(daemon, "/x/1")->status == 200);
   daemon.Stop();
 }
 
