--- a/tests/main/test_crashing_requests.cc
+++ b/tests/main/test_crashing_requests.cc
@@ -11,10 +11,10 @@
 
 // Guards against requests that crash endpoints: every host that received a
 // retry of such a request sent it to a healthy endpoint, and to another one
-// after that had crashed, because no host remembered the request. In production
-// one request ended 38 endpoints, and in the worst second 59 of 109 calls to
-// their service were rejected. This test measured 24 crashed endpoints with a
-// store and 14 with documents:
+// after that had crashed, because no host remembered the request. One request
+// ended 38 endpoints, and in the worst second 59 of 109 calls to their service
+// were rejected. In this test it crashed 24 endpoints with a store and 14 with
+// documents:
 //
 //   request=3ab254a846146522 failure=broken endpoint=e3 sends=2
 //   request=3ab254a846146522 failure=broken endpoint=e0 sends=2
--- a/tests/support/crashing_endpoint.h
+++ b/tests/support/crashing_endpoint.h
@@ -16,12 +16,12 @@
 
 namespace damasktack {
 
-// An endpoint that answers each request, but ends as a process does that
-// crashes when it runs one whose target contains "crash": nothing listens any
-// more and every connection closes. Starts again at its address after a while.
+// An endpoint that answers each request, but behaves like a crashed process
+// when it runs one whose target contains "crash": it stops listening and all
+// its connections close. It restarts at its address after `down_for`.
 class CrashingEndpoint {
  public:
-  // `call_header` is repeated in answers.
+  // `call_header` is echoed in responses.
   CrashingEndpoint(std::string call_header, Duration down_for)
       : call_header_(std::move(call_header)), down_for_(down_for) {
     Listen();
@@ -43,7 +43,7 @@
   using Request = boost::beast::http::request<boost::beast::http::string_body>;
   using Response =
       boost::beast::http::response<boost::beast::http::string_body>;
-  // How long a request runs.
+  // Processing time of a request.
   static constexpr std::chrono::milliseconds kRunTime{2};
 
   void Listen() {
@@ -115,10 +115,10 @@
       it->close(ec);
     }
     connections_.clear();
-    boost::asio::co_spawn(context_, ComeBack(), boost::asio::detached);
+    boost::asio::co_spawn(context_, Restart(), boost::asio::detached);
   }
 
-  boost::asio::awaitable<void> ComeBack() {
+  boost::asio::awaitable<void> Restart() {
     boost::system::error_code ec;
     boost::asio::steady_timer down(context_, down_for_);
     co_await down.async_wait(
--- a/tests/support/daemon_fleets.h
+++ b/tests/support/daemon_fleets.h
@@ -49,8 +49,8 @@
   return ports;
 }
 
-// Entry hosts of a deployment with a store, at which calls to "a.example/x/" go
-// to the given endpoints.
+// Load balancer hosts of a deployment with a store; calls to "a.example/x/" are
+// routed to the given endpoints.
 class StoreFleet {
  public:
   StoreFleet(std::size_t hosts, const std::vector<std::uint16_t>& endpoints) {
@@ -78,7 +78,7 @@
     return detail::CallerPorts(daemons_);
   }
 
-  // The header that names a call.
+  // The header with the call ID.
   static constexpr auto kCall = "X-Damasktack-Request-Id";
 
  private:
@@ -109,9 +109,8 @@
   std::vector<std::unique_ptr<StoreDaemon>> daemons_;
 };
 
-// Entry hosts of a deployment with documents, at which calls of the key "key"
-// to
-// "/dispatch" go to the given endpoints.
+// Load balancer hosts of a deployment with documents; calls to "/dispatch" with
+// the key "key" are routed to the given endpoints.
 class DocumentFleet {
  public:
   DocumentFleet(std::size_t hosts,
@@ -155,7 +154,7 @@
     return detail::CallerPorts(daemons_);
   }
 
-  // The header that names a call.
+  // The header with the call ID.
   static constexpr auto kCall = "Damasktack-Call";
 
  private:
--- a/tests/support/scripted_endpoint.h
+++ b/tests/support/scripted_endpoint.h
@@ -18,16 +18,17 @@
 
 namespace damasktack {
 
-// An endpoint that answers calls as a script says, and notes when they came.
-// Answers to probes, and to calls without a script, are plain.
+// An endpoint that answers calls according to a script and records when they
+// arrived. Responses to probes, and to calls without a script, have status 200
+// and no load.
 class ScriptedEndpoint {
  public:
   using Response =
       boost::beast::http::response<boost::beast::http::string_body>;
-  // Changes the answer to one call; runs on the endpoint's thread.
+  // Modifies the response to one call; runs on the endpoint's thread.
   using Script = std::function<void(Response& answer)>;
 
-  // `call_header` is repeated in answers.
+  // `call_header` is echoed in responses.
   explicit ScriptedEndpoint(std::string call_header)
       : call_header_(std::move(call_header)) {
     port_ = acceptor_.local_endpoint().port();
@@ -46,7 +47,7 @@
     const std::lock_guard lock(mutex_);
     script_ = std::move(script);
   }
-  // When each call came.
+  // Returns the arrival time of each call.
   std::vector<TimePoint> arrivals() const {
     const std::lock_guard lock(mutex_);
     return arrivals_;
--- a/tests/support/state_chart_check.h
+++ b/tests/support/state_chart_check.h
@@ -18,19 +18,19 @@
   return text.str();
 }
 
-// Walks every transition of the chart file at `path` and every pair of state
-// and event that has none: the bound table must say the same as the file, and
-// the committed text must be the file's.
+// Checks the chart file at `path` against the embedded text and the bound
+// chart: the texts must be equal, and for every pair of state and event both
+// must have the same transition or none.
 template <typename State, typename Event>
 void CheckAllTransitions(const std::string& path,
-                         std::string_view committed,
+                         std::string_view embedded,
                          const BoundChart<State, Event>& bound) {
   const std::string text = ReadSourceFile(path);
-  REQUIRE_MESSAGE(text == committed, "run misc/scripts/embed_charts.py");
+  REQUIRE_MESSAGE(text == embedded, "run misc/scripts/embed_charts.py");
   Try(
       [&]() -> leaf::result<void> {
         BOOST_LEAF_AUTO(chart, StateChart::Parse(text, path));
-        std::size_t walked = 0;
+        std::size_t checked = 0;
         for (std::size_t from = 0; from < BoundChart<State, Event>::kStates;
              ++from) {
           for (std::size_t event = 0; event < BoundChart<State, Event>::kEvents;
@@ -48,12 +48,12 @@
               listed = true;
               REQUIRE(next);
               CHECK(ChartName(*next) == chart.states()[it.to]);
-              ++walked;
+              ++checked;
             }
             CHECK(next.has_value() == listed);
           }
         }
-        CHECK(walked == chart.transitions().size());
+        CHECK(checked == chart.transitions().size());
         return {};
       },
       [](const Error& error) { FAIL(ToString(error)); });
--- a/tests/system/child_process.cc
+++ b/tests/system/child_process.cc
@@ -22,9 +22,10 @@
   posix_spawn_file_actions_addopen(&files, 1, log.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, kMode);
   posix_spawn_file_actions_adddup2(&files, 1, 2);
-  // The stand-ins' listening sockets are open in this process. A daemon that
-  // inherited them would keep their ports open after a stand-in closed them:
-  // callers would hang instead of being refused.
+  // Closes inherited descriptors: the listening sockets of the stand-ins are
+  // open in this process. A daemon that inherited them would keep their ports
+  // open after a stand-in has closed them, and callers would hang instead of
+  // being refused.
   constexpr int kFirstInherited = 3;
   posix_spawn_file_actions_addclosefrom_np(&files, kFirstInherited);
   posix_spawn(&pid_, argv[0], &files, nullptr, argv.data(), environ);
--- a/tests/system/child_process.h
+++ b/tests/system/child_process.h
@@ -8,19 +8,22 @@
 
 namespace damasktack {
 
-// One process of our own binaries, known by its id and ended with its owner.
+// A child process that runs one of the project's binaries. The destructor ends
+// it.
 class ChildProcess {
  public:
-  // `command[0]` is the program's path; output goes to `log`.
+  // Starts the program at the path `command[0]`; its output is written to
+  // `log`.
   ChildProcess(const std::vector<std::string>& command, const std::string& log);
   ~ChildProcess();
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
   void Signal(int signal_number);
-  // Whether it has ended; does not wait.
+  // Returns whether the process has ended; does not block.
   bool HasEnded();
-  // Waits for the end. The exit code, or minus the signal that ended it.
+  // Waits for the process to end. Returns the exit code, or the negated number
+  // of the signal that ended it.
   int Wait();
   pid_t pid() const { return pid_; }
 
--- a/tests/system/load_checks.cc
+++ b/tests/system/load_checks.cc
@@ -29,7 +29,8 @@
 LoadClass DockCommands(double rate) {
   LoadClass it = Command("dock", rate);
   it.idempotency_keys = true;
-  // Two at the same time and more later, each through another host.
+  // Sends duplicates at the same time and repeats later, each through another
+  // host.
   it.repeats = 5;
   it.doubled_percent = 10;
   return it;
@@ -60,36 +61,37 @@
 void CheckOutcomesMatchExecutions(const LoadPlan& plan,
                                   const LoadRecords& records,
                                   const ExecutionLog& log) {
-  std::size_t ran_though_told_not = 0;
+  std::size_t ran_despite_not_run = 0;
   std::size_t complete_without_run = 0;
-  std::size_t doubled = 0;
+  std::size_t executed_twice = 0;
   for (const LoadRecord& it : records) {
     const std::uint64_t runs = log.OfCall(it.call);
     const bool is_command = plan.classes[it.load_class].method == "POST";
     if (it.outcome == LoadOutcome::kNotRun && runs > 0) {
-      ++ran_though_told_not;
+      ++ran_despite_not_run;
     }
-    // A repeat may get the kept answer of the first, so the key counts.
-    const std::uint64_t runs_of_it = it.key.empty() ? runs : log.OfKey(it.key);
-    if (it.outcome == LoadOutcome::kComplete && runs_of_it == 0) {
+    // A repeat may get the stored response of the first attempt, so executions
+    // are counted by key.
+    const std::uint64_t executions = it.key.empty() ? runs : log.OfKey(it.key);
+    if (it.outcome == LoadOutcome::kComplete && executions == 0) {
       ++complete_without_run;
     }
-    if (is_command && runs_of_it > 1) {
-      ++doubled;
+    if (is_command && executions > 1) {
+      ++executed_twice;
     }
   }
-  CHECK(ran_though_told_not == 0);
+  CHECK(ran_despite_not_run == 0);
   CHECK(complete_without_run == 0);
-  CHECK(doubled == 0);
+  CHECK(executed_twice == 0);
   CHECK(CountOf(records, LoadOutcome::kWrongAnswer) == 0);
-  // Also those whose caller heard nothing.
-  std::string doubled_keys;
+  // Includes keys whose callers got no response.
+  std::string keys_executed_twice;
   for (const auto& [key, runs] : log.by_key()) {
     if (runs > 1) {
-      doubled_keys += key + " ";
+      keys_executed_twice += key + " ";
     }
   }
-  CHECK_MESSAGE(doubled_keys.empty(), doubled_keys);
+  CHECK_MESSAGE(keys_executed_twice.empty(), keys_executed_twice);
 }
 
 void PrintOutcomes(const LoadPlan& plan, const LoadRecords& records) {
--- a/tests/system/load_checks.h
+++ b/tests/system/load_checks.h
@@ -8,7 +8,7 @@
 
 namespace damasktack {
 
-// Classes of the Alentejo preset.
+// Call classes of the Alentejo preset.
 LoadClass DockCommands(double rate);
 LoadClass UnkeyedCommands(double rate);
 LoadClass Lookups(double rate);
@@ -17,14 +17,14 @@
 
 std::size_t CountOf(const LoadRecords& records, LoadOutcome outcome);
 
-// Holds what each caller was told against what ran: "not-run" did not run,
-// "complete" ran, nobody got another caller's answer, and no keyed or unkeyed
-// command ran twice.
+// Checks the outcomes reported to callers against the executions: calls
+// reported as "not-run" did not run, "complete" ones ran, no response reached
+// the wrong caller, and no command ran twice, with a key or without.
 void CheckOutcomesMatchExecutions(const LoadPlan& plan,
                                   const LoadRecords& records,
                                   const ExecutionLog& log);
 
-// Prints how the calls of each class ended, for the reader of the test's log.
+// Prints the outcomes of the calls of each class to the test's log.
 void PrintOutcomes(const LoadPlan& plan, const LoadRecords& records);
 
 }  // namespace damasktack
--- a/tests/system/system_fleet.h
+++ b/tests/system/system_fleet.h
@@ -13,15 +13,16 @@
 
 namespace damasktack {
 
-// Real daemons on loopback ports with stand-ins in the test's own process.
+// Daemon processes on loopback ports, with stand-ins for platform and endpoints
+// in the test's own process.
 class SystemFleet {
  public:
-  // Publishes the documents and starts every host; returns when all are
-  // ready. The folder for settings and logs goes with the object.
+  // Publishes the documents and starts all hosts; returns when all are ready.
+  // The folder of settings and logs is removed by the destructor.
   explicit SystemFleet(const DeploymentOptions& options);
   ~SystemFleet();
 
-  // To be changed and published again by the test.
+  // The deployment, which tests may change and publish again.
   Deployment& deployment() { return deployment_; }
   StandinFleet& standins() { return standins_; }
   std::size_t size() const { return deployment_.hosts.size(); }
@@ -31,13 +32,13 @@
   void StartHost(std::size_t n);
   bool IsReady(std::size_t n) const;
   void WaitReady(std::size_t n) const;
-  // The revision that a host has in force; 0 where it does not answer.
+  // Returns the revision that is in force on a host; 0 if it does not respond.
   Revision InForce(std::size_t n, DocumentName name) const;
-  // What a host has logged so far, over all its processes.
+  // Returns the log of a host over all its processes.
   std::string Log(std::size_t n) const;
   const std::string& folder() const { return folder_; }
 
-  // A plan with all hosts as entries and no classes yet.
+  // Returns a load plan with all hosts as entries and without classes.
   LoadPlan Plan(Duration duration) const;
 
  private:
@@ -50,7 +51,7 @@
   std::vector<std::unique_ptr<ChildProcess>> processes_;
 };
 
-// Polls until `condition` holds; a failed check after a minute.
+// Polls until `condition` holds; fails the test after a minute.
 void WaitUntil(const std::string& what, const std::function<bool()>& condition);
 
 }  // namespace damasktack
--- a/tests/system/test_blocked_output.cc
+++ b/tests/system/test_blocked_output.cc
@@ -13,13 +13,13 @@
 namespace damasktack {
 namespace {
 
-// A pipe under a name that is full and that nobody reads.
+// A named pipe that is full and that nobody reads.
 class FullPipe {
  public:
   explicit FullPipe(const std::string& path) {
     std::filesystem::remove(path);
     REQUIRE(mkfifo(path.c_str(), 0600) == 0);
-    // Open for both, so that opening it for writing does not wait.
+    // Opened for reading and writing, so that opening does not block.
     fd_ = open(path.c_str(), O_RDWR | O_NONBLOCK);
     REQUIRE(fd_ >= 0);
     const std::array<char, 4096> bytes{};
@@ -32,10 +32,10 @@
   int fd_ = -1;
 };
 
-// Whatever reads a host's standard output has stalled, and the pipe is full.
-// The first line blocks the thread that writes lines. Callers notice nothing,
-// and a planned stop ends the process: one that waited for its last lines would
-// be there until the platform kills it, with calls in hand.
+// The reader of a host's standard output has stalled and the pipe is full, so
+// the first log line blocks the logging thread. Callers must not be affected,
+// and a planned stop must end the process: waiting for the last lines would
+// keep it until the platform kills it, with calls in flight.
 TEST_CASE("a host whose output nobody reads serves calls and stops") {
   SystemFleet fleet({Preset::kAlentejo, 1, 0});
   fleet.host(0).Signal(SIGTERM);
@@ -47,7 +47,7 @@
   httplib::Client client(host.callers.ip, host.callers.port);
   client.set_read_timeout(std::chrono::seconds(30));
   for (int n = 0; n < 100; ++n) {
-    // Nobody's key: refused, and so worth a line.
+    // Without a key: rejected, which is logged.
     const auto refused = client.Get("/dashboard/a");
     REQUIRE(refused);
     CHECK(refused->status == 401);
--- a/tests/system/test_documents.cc
+++ b/tests/system/test_documents.cc
@@ -15,7 +15,8 @@
 
 constexpr int kOk = 200;
 
-// Status of a parish's lookup through one host; 0 where no answer came.
+// Returns the status of a lookup by the customer "parishes" through one host; 0
+// if there was no response.
 int LookupStatus(const SocketAddress& callers) {
   httplib::Client client(callers.ip, callers.port);
   client.set_read_timeout(seconds(30));
@@ -24,14 +25,16 @@
   return answer ? answer->status : 0;
 }
 
-void WaitInForce(SystemFleet& fleet, DocumentName name, Revision revision) {
+void WaitUntilInForce(SystemFleet& fleet,
+                      DocumentName name,
+                      Revision revision) {
   for (std::size_t n = 0; n < fleet.size(); ++n) {
     WaitUntil("a revision is in force on host " + std::to_string(n),
               [&] { return fleet.InForce(n, name) == revision; });
   }
 }
 
-// Parishes may read the dashboard in the first contract; this takes it away.
+// Removes the contract of "parishes", which allows it to read the dashboard.
 void RevokeParishes(SystemFleet& fleet) {
   std::erase_if(fleet.deployment().contracts, [](const Contract& it) {
     return it.customer.text() == "parishes";
@@ -39,30 +42,30 @@
   fleet.Publish(DocumentName::kContracts);
 }
 
-// A customer that lost its contract is refused by every host, whichever it
-// asks; a host that missed the change would go on serving it.
+// A customer whose contract was removed must be rejected by every host; a host
+// that missed the change would keep serving it.
 TEST_CASE("a published change is in force on every host") {
   SystemFleet fleet({Preset::kAlentejo, 5, 0});
   for (const DeployedHost& it : fleet.deployment().hosts) {
     CHECK(LookupStatus(it.callers) == kOk);
   }
   RevokeParishes(fleet);
-  WaitInForce(fleet, DocumentName::kContracts, 2);
+  WaitUntilInForce(fleet, DocumentName::kContracts, 2);
   for (const DeployedHost& it : fleet.deployment().hosts) {
     CHECK(LookupStatus(it.callers) != kOk);
   }
 }
 
-// The platform goes away. A host is killed and its successor, which has kept
-// nothing, starts: it takes the documents from its peers and serves. Then the
-// platform comes back and hands out an older revision, and another host is
-// replaced: neither it nor any other may take the older contract, under which
-// the removed customer would be served again.
-TEST_CASE("contracts outlive the platform and never revert to an older one") {
+// While the platform is down, a killed host is restarted without data and must
+// take the documents from its peers. Then the platform returns with an older
+// revision and another host is replaced: no host may accept the older
+// contracts, under which the removed customer would be served again.
+TEST_CASE(
+    "contracts survive a platform outage and never revert to older ones") {
   SystemFleet fleet({Preset::kAlentejo, 4, 0});
   const std::string old_text = ContractsText(fleet.deployment());
   RevokeParishes(fleet);
-  WaitInForce(fleet, DocumentName::kContracts, 2);
+  WaitUntilInForce(fleet, DocumentName::kContracts, 2);
   fleet.standins().platform().SetFault(StandinPlatform::Fault::kRefusing);
   fleet.host(0).Signal(SIGKILL);
   fleet.host(0).Wait();
@@ -86,11 +89,11 @@
   }
 }
 
-// A host is frozen, as a paused virtual machine is. Meanwhile a customer loses
-// its contract, and sends a call whose bytes wait in the frozen host's socket.
-// When the host wakes, its first work is that call, while its documents are
-// old: it must check what it believes before it serves anyone.
-TEST_CASE("a host that wakes late serves nobody by what it knew before") {
+// A host is suspended like a paused virtual machine. Meanwhile a customer loses
+// its contract and sends a call that waits in the host's socket. After it
+// resumes, the host must verify its documents, which are outdated, before it
+// serves this call.
+TEST_CASE("a host that resumes late does not serve by outdated contracts") {
   SystemFleet fleet({Preset::kAlentejo, 4, 0});
   const SocketAddress callers = fleet.deployment().hosts[2].callers;
   CHECK(LookupStatus(callers) == kOk);
@@ -102,11 +105,11 @@
   }
   auto waiting =
       std::async(std::launch::async, [&] { return LookupStatus(callers); });
-  // Longer than the silence after which peers count it as gone (3 s).
+  // Longer than the silence after which peers regard it as unreachable (3 s).
   std::this_thread::sleep_for(seconds(4));
   fleet.host(2).Signal(SIGCONT);
   CHECK(waiting.get() != kOk);
-  WaitUntil("the late waker has the change",
+  WaitUntil("the resumed host has the change",
             [&] { return fleet.InForce(2, DocumentName::kContracts) == 2; });
   fleet.WaitReady(2);
   CHECK(LookupStatus(callers) != kOk);
--- a/tests/system/test_endpoint_faults.cc
+++ b/tests/system/test_endpoint_faults.cc
@@ -11,7 +11,7 @@
 
 using std::chrono::seconds;
 
-EndpointFaults Spoiling(AnswerFault fault, double share) {
+EndpointFaults MakeAnswerFault(AnswerFault fault, double share) {
   EndpointFaults faults;
   faults.answer = fault;
   faults.answer_share = share;
@@ -26,11 +26,12 @@
   endpoint->SetFaults(faults);
 }
 
-// Callers of a service see it through three bad endpoints: one goes without a
-// warning, one answers errors at once, one becomes ten times slower. Lookups
-// may be repeated elsewhere; a command whose connection died may have run and
-// must be called unknown, never not-run, and never be sent again.
-TEST_CASE("outcomes stay true while endpoints go, fail fast and slow down") {
+// Three endpoints of a service fail: one disappears without a warning, one
+// returns errors at once, one becomes ten times slower. Lookups may be retried
+// elsewhere; a command whose connection broke may have run, so it must be
+// reported as unknown, never as not-run, and never be retried.
+TEST_CASE(
+    "outcomes are true while endpoints disappear, fail fast and slow down") {
   SystemFleet fleet({Preset::kAlentejo, 3, 0});
   LoadPlan plan = fleet.Plan(seconds(7));
   plan.classes = {DockCommands(80), UnkeyedCommands(80), Lookups(200)};
@@ -55,17 +56,20 @@
   CHECK(CountOf(records, LoadOutcome::kComplete) > records.size() * 9 / 10);
 }
 
-// Callers get whole answers or are told that they did not. Endpoints halve
-// answers, close without one, and send a second answer that nobody asked for,
-// which must not become the next caller's.
-TEST_CASE("spoiled answers never reach a caller as whole or as another's") {
+// Endpoints truncate responses, close without one, and send a second,
+// unsolicited response, which must not reach the next caller. Callers must get
+// complete responses or be told that they did not.
+TEST_CASE(
+    "faulty responses never reach a caller as complete or as another "
+    "caller's") {
   SystemFleet fleet({Preset::kAlentejo, 3, 0});
-  SetFaults(fleet, "dispatch-1", Spoiling(AnswerFault::kHalf, 0.2));
-  SetFaults(fleet, "dispatch-2", Spoiling(AnswerFault::kClose, 0.2));
-  SetFaults(fleet, "dispatch-3", Spoiling(AnswerFault::kCloseUnrun, 0.2));
-  SetFaults(fleet, "dispatch-4", Spoiling(AnswerFault::kStray, 0.2));
-  SetFaults(fleet, "dashboard-1", Spoiling(AnswerFault::kHalf, 0.2));
-  SetFaults(fleet, "dashboard-2", Spoiling(AnswerFault::kStray, 0.5));
+  SetFaults(fleet, "dispatch-1", MakeAnswerFault(AnswerFault::kHalf, 0.2));
+  SetFaults(fleet, "dispatch-2", MakeAnswerFault(AnswerFault::kClose, 0.2));
+  SetFaults(fleet, "dispatch-3",
+            MakeAnswerFault(AnswerFault::kCloseUnrun, 0.2));
+  SetFaults(fleet, "dispatch-4", MakeAnswerFault(AnswerFault::kStray, 0.2));
+  SetFaults(fleet, "dashboard-1", MakeAnswerFault(AnswerFault::kHalf, 0.2));
+  SetFaults(fleet, "dashboard-2", MakeAnswerFault(AnswerFault::kStray, 0.5));
   LoadPlan plan = fleet.Plan(seconds(5));
   plan.classes = {DockCommands(80), UnkeyedCommands(80), Lookups(200)};
   const LoadRecords records = StartLoad(plan).get();
@@ -74,9 +78,9 @@
   CHECK(CountOf(records, LoadOutcome::kCut) == 0);
 }
 
-// Two faults at once: the platform is gone and an entry host dies while an
-// endpoint slows down tenfold. The other hosts go on with what they know, and
-// nobody is told what is not so.
+// The platform is down and a load balancer host is killed while an endpoint
+// becomes ten times slower. The other hosts must continue with the documents
+// that they have, and all reported outcomes must be true.
 TEST_CASE("the platform, a host and an endpoint fail together") {
   SystemFleet fleet({Preset::kAlentejo, 4, 0});
   LoadPlan plan = fleet.Plan(seconds(7));
--- a/tests/system/test_replacement.cc
+++ b/tests/system/test_replacement.cc
@@ -9,11 +9,12 @@
 
 using std::chrono::seconds;
 
-// The callers see nothing. Each entry host in turn is told to stop, goes on
-// serving while the balancer still sends, finishes its calls, exits 0, and its
-// successor starts empty under the same address. A host that closed while the
-// balancer still sent would show as a cut call.
-TEST_CASE("replacing every host under load cuts no call and doubles none") {
+// Each host in turn is told to stop. It must serve while the platform's
+// balancer still sends, finish its calls and exit with 0, and its successor
+// starts without data under the same address. A host that closed while the
+// balancer still sent would show as an aborted call.
+TEST_CASE(
+    "replacing every host under load aborts no call and runs none twice") {
   SystemFleet fleet({Preset::kAlentejo, 4, 0});
   LoadPlan plan = fleet.Plan(seconds(14));
   plan.classes = {DockCommands(60), UnkeyedCommands(60), Lookups(150)};
@@ -32,10 +33,10 @@
   CHECK(CountOf(records, LoadOutcome::kFailed) == 0);
 }
 
-// The callers of one host see their connections die; all others see nothing.
-// A host is killed with calls in flight, so nobody can tell whether those ran.
-// Nothing that another host had in hand may be touched by it.
-TEST_CASE("a killed host takes only its own calls with it") {
+// A host is killed with calls in flight, for which nobody can tell whether they
+// ran. Callers of this host lose their connections; calls on other hosts must
+// not be affected.
+TEST_CASE("a killed host affects only its own calls") {
   SystemFleet fleet({Preset::kAlentejo, 4, 0});
   LoadPlan plan = fleet.Plan(seconds(6));
   plan.classes = {DockCommands(150), UnkeyedCommands(60), Lookups(150)};
@@ -47,7 +48,7 @@
   PrintOutcomes(plan, records);
   CheckOutcomesMatchExecutions(plan, records, fleet.standins().log());
   CHECK(CountOf(records, LoadOutcome::kNoEntry) == 0);
-  // What was in flight on one host of four, and nothing after it.
+  // Only the calls in flight on one of four hosts may be aborted.
   CHECK(CountOf(records, LoadOutcome::kCut) < 50);
 }
 
--- a/tests/system/test_signals.cc
+++ b/tests/system/test_signals.cc
@@ -9,11 +9,11 @@
 namespace damasktack {
 namespace {
 
-// A planned stop is under way when further signals come: the settings change,
-// and the operator asks for the stop again. Callers whose requests the host has
-// in hand got no answer, since the thread that writes lines took the signal and
-// ended the process.
-TEST_CASE("signals in series during a stop do not end the process sooner") {
+// Further signals arrive during a planned stop, because settings change or the
+// operator requests the stop again. The thread that writes log lines used to
+// receive such a signal and ended the process, so that calls in flight got no
+// response.
+TEST_CASE("repeated signals during a stop do not end the process early") {
   SystemFleet fleet({Preset::kAlentejo, 1, 0});
   fleet.WaitReady(0);
   fleet.host(0).Signal(SIGTERM);
--- a/tests/test_main.cc
+++ b/tests/test_main.cc
@@ -3,8 +3,8 @@
 
 #include <cstdlib>
 
-// The cases listed in KNOWN-RED.txt reach each test program this way, so that
-// one list serves them all (misc/scripts/run_tests.py).
+// Excludes the cases listed in KNOWN-RED.txt, which misc/scripts/run_tests.py
+// passes in this variable, so that one list applies to all test programs.
 int main(int argc, char** argv) {
   doctest::Context context;
   const char* known_red = std::getenv("DAMASKTACK_KNOWN_RED");
