--- a/bench/admission_retry_bench.cc
+++ b/bench/admission_retry_bench.cc
@@ -58,13 +58,13 @@
   double last_sends() const { return static_cast<double>(last_sends_); }
 
  private:
-  Answer Call(std::size_t hop, bool is_repeat) {
+  Answer Call(std::size_t hop, bool is_retry) {
     ServiceBalancer& balancer = hops_[hop];
     CallOffer offer;
     offer.token = ++token_;
     offer.customer = CustomerId("inspectors");
     offer.idempotent = true;
-    offer.is_repeat = is_repeat;
+    offer.is_retry = is_retry;
     offer.arrival = now_;
     offer.deadline = now_ + std::chrono::seconds(10);
     Decisions out;
@@ -75,7 +75,7 @@
       if (!endpoint) {
         return {SendResult::kFailed, passing_.outcome};
       }
-      answer = Send(hop, is_repeat || (passing_.attempt && sends > 1));
+      answer = Send(hop, is_retry || (passing_.attempt && sends > 1));
       SendEnd end;
       end.token = offer.token;
       end.endpoint = *endpoint;
@@ -104,9 +104,9 @@
     return endpoint;
   }
 
-  Answer Send(std::size_t hop, bool is_repeat) {
+  Answer Send(std::size_t hop, bool is_retry) {
     if (hop + 1 < kDepth) {
-      return Call(hop + 1, is_repeat);
+      return Call(hop + 1, is_retry);
     }
     ++last_sends_;
     const bool fails = UniformBelow(random_, 1000) < failing_ * 1000;
--- a/bench/fleet_change_bench.cc
+++ b/bench/fleet_change_bench.cc
@@ -29,7 +29,7 @@
   void OnInForce(const Document& /*document*/) override {}
   void OnRefused(DocumentName /*name*/,
                  const DocumentRefusal& /*refusal*/) override {}
-  void OnHeardDrain(const DrainObservation& /*sighting*/) override {}
+  void OnPeerDrainObserved(const DrainObservation& /*sighting*/) override {}
 };
 
 using Nodes = std::vector<std::unique_ptr<FleetNode>>;
--- a/policy/call_offer.h
+++ b/policy/call_offer.h
@@ -25,7 +25,7 @@
   bool idempotent = false;
   // The previous hop is already retrying the call, so this hop does not:
   // retries at every hop would multiply.
-  bool is_repeat = false;
+  bool is_retry = false;
   // Retry budget of the customer, in percent of its first sends.
   std::int64_t retry_percent = 10;
   // Regions in which the call may run; empty means any region.
--- a/policy/crash_tracker.cc
+++ b/policy/crash_tracker.cc
@@ -212,11 +212,10 @@
 Duration CrashTracker::QuarantineAfter(std::size_t crashes) const {
   Duration time = options_.quarantine;
   for (std::size_t n = options_.crashes_to_quarantine;
-       n < crashes && time < options_.longest_quarantine; ++n) {
+       n < crashes && time < options_.max_quarantine; ++n) {
     time *= 2;
   }
-  return Scaled(std::min(time, options_.longest_quarantine),
-                quarantine_factor_);
+  return Scaled(std::min(time, options_.max_quarantine), quarantine_factor_);
 }
 
 RequestJudgement CrashTracker::Judge(RequestFingerprint request,
--- a/policy/crash_tracker.h
+++ b/policy/crash_tracker.h
@@ -38,7 +38,7 @@
   std::size_t crashes_to_quarantine = 3;
   // Quarantine time from the last crash; it doubles with each further crash.
   Duration quarantine = std::chrono::seconds(60);
-  Duration longest_quarantine = std::chrono::hours(1);
+  Duration max_quarantine = std::chrono::hours(1);
   // Two crashes of one process within this time are the same crash, observed by
   // two calls.
   Duration same_crash = std::chrono::seconds(1);
--- a/policy/host_number.h
+++ b/policy/host_number.h
@@ -13,7 +13,7 @@
 
   std::int64_t number = kNone;
   // Count of host numbers; `number` is below it.
-  std::int64_t seats = 0;
+  std::int64_t number_count = 0;
 
   bool IsKnown() const { return number != kNone; }
 
--- a/policy/host_quota.cc
+++ b/policy/host_quota.cc
@@ -32,8 +32,9 @@
   for (int unit = 0; unit < units; ++unit) {
     const auto drawn = XXH3_64bits_withSeed(&unit, sizeof(unit), seed);
     own_units_ +=
-        HostNumberOfUnit(drawn, host_number.seats) == host_number.number ? 1
-                                                                         : 0;
+        HostNumberOfUnit(drawn, host_number.number_count) == host_number.number
+            ? 1
+            : 0;
   }
 }
 
--- a/policy/measured_balancer.cc
+++ b/policy/measured_balancer.cc
@@ -232,7 +232,7 @@
                                 const SendEnd& end,
                                 TimePoint now) {
   if (!MaySendAgain(end.result, offer.idempotent) || end.retried_downstream ||
-      end.is_suspected || offer.is_repeat) {
+      end.is_suspected || offer.is_retry) {
     return false;
   }
   const int attempt_limit =
--- a/policy/retry_budget.h
+++ b/policy/retry_budget.h
@@ -9,7 +9,7 @@
 #include "core/time.h"
 #include "policy/call.h"
 #include "policy/fleet_size.h"
-#include "policy/repeat_window.h"
+#include "policy/retry_window.h"
 
 namespace damasktack {
 
@@ -22,7 +22,7 @@
   double customer_cap = 10;
   double service_cap = 50;
   // Retries beyond the percentage that all hosts together may send of one
-  // service in any RepeatWindow. If positive, that window replaces
+  // service in any RetryWindow. If positive, that window replaces
   // `service_cap`.
   double fleet_slack = 0;
   // Time in which a customer with almost no traffic earns one retry.
@@ -41,7 +41,7 @@
 // receive a multiple of its load.
 class RetryBudget {
  public:
-  // `rounding` is from 0 to 1, drawn at random by each host; see RepeatWindow.
+  // `rounding` is from 0 to 1, drawn at random by each host; see RetryWindow.
   explicit RetryBudget(RetryBudgetOptions options, double rounding = 0);
 
   // Sets the number of hosts that share the slack of the service, and the
@@ -84,7 +84,7 @@
   std::unordered_map<CustomerId, Budget> customers_;
   Budget service_;
   FleetSize fleet_;
-  RepeatWindow window_;
+  RetryWindow window_;
   // Fractions of the recent sends that failed, and that were refused without
   // execution.
   double failing_ = 0;
--- a/policy/repeat_window.cc
+++ b/policy/retry_window.cc
@@ -1,8 +1,8 @@
-#include "policy/repeat_window.h"
+#include "policy/retry_window.h"
 
 namespace damasktack {
 
-RepeatWindow::Slice& RepeatWindow::SliceAt(TimePoint now) {
+RetryWindow::Slice& RetryWindow::SliceAt(TimePoint now) {
   const std::int64_t number = NumberOf(now);
   Slice& slice = slices_[static_cast<std::size_t>(number) % slices_.size()];
   if (slice.number != number) {
@@ -11,7 +11,7 @@
   return slice;
 }
 
-bool RepeatWindow::TrySpend(TimePoint now) {
+bool RetryWindow::TrySpend(TimePoint now) {
   const std::int64_t number = NumberOf(now);
   std::int64_t first_sends = 0;
   std::int64_t retries = 0;
--- a/policy/repeat_window.h
+++ b/policy/retry_window.h
@@ -1,5 +1,5 @@
-#ifndef POLICY_REPEAT_WINDOW_H_
-#define POLICY_REPEAT_WINDOW_H_
+#ifndef POLICY_RETRY_WINDOW_H_
+#define POLICY_RETRY_WINDOW_H_
 
 #include <array>
 #include <cstddef>
@@ -17,13 +17,13 @@
 // than one retry. What its calls earn stays valid for as long as the window
 // counts them, and each host rounds by a random offset, so that the sum of the
 // shares matches the total for any number of hosts.
-class RepeatWindow {
+class RetryWindow {
  public:
   static constexpr Duration kWindow = std::chrono::seconds(10);
 
   // `fraction` is the allowed fraction of first sends; `rounding` is from 0 to
   // 1, drawn at random by each host.
-  RepeatWindow(double fraction, double rounding)
+  RetryWindow(double fraction, double rounding)
       : fraction_(fraction), rounding_(rounding) {}
 
   // Sets this host's share of the slack, in retries.
@@ -58,4 +58,4 @@
 
 }  // namespace damasktack
 
-#endif  // POLICY_REPEAT_WINDOW_H_
+#endif  // POLICY_RETRY_WINDOW_H_
--- a/policy/service_balancer.cc
+++ b/policy/service_balancer.cc
@@ -132,7 +132,7 @@
   }
   // A hop further from the failure would multiply the retries of the nearest
   // hop: three sends at each of ten hops make 59,049.
-  if (end.retried_downstream || offer.is_repeat) {
+  if (end.retried_downstream || offer.is_retry) {
     return false;
   }
   const int attempt_limit =
--- a/proxy/call_holds.h
+++ b/proxy/call_guards.h
@@ -1,5 +1,5 @@
-#ifndef PROXY_CALL_HOLDS_H_
-#define PROXY_CALL_HOLDS_H_
+#ifndef PROXY_CALL_GUARDS_H_
+#define PROXY_CALL_GUARDS_H_
 
 #include <atomic>
 #include <cstdint>
@@ -42,4 +42,4 @@
 
 }  // namespace damasktack
 
-#endif  // PROXY_CALL_HOLDS_H_
+#endif  // PROXY_CALL_GUARDS_H_
--- a/proxy/call_handler.cc
+++ b/proxy/call_handler.cc
@@ -8,8 +8,8 @@
 
 #include "policy/call_outcome.h"
 #include "policy/target_choice.h"
-#include "proxy/call_holds.h"
-#include "proxy/call_terms.h"
+#include "proxy/call_guards.h"
+#include "proxy/call_parameters.h"
 #include "proxy/claim_answers.h"
 #include "proxy/header_rewrite.h"
 #include "proxy/request_check.h"
@@ -85,7 +85,7 @@
 struct CallHandler::ClaimOutcome {
   ClaimReply reply;
   // Null unless the claim was granted.
-  std::shared_ptr<ClaimHold> hold;
+  std::shared_ptr<ClaimGuard> hold;
 };
 
 CallHandler::CallHandler(ProxyState& state, ProxyLoop& loop)
@@ -248,7 +248,7 @@
                      poster = loop_.poster()](const ClaimReply& reply) {
     auto end = std::make_shared<ClaimOutcome>(ClaimOutcome{reply, nullptr});
     if (reply.verdict == ClaimVerdict::kGranted) {
-      end->hold = std::make_shared<ClaimHold>(gate, claim, reply.claim);
+      end->hold = std::make_shared<ClaimGuard>(gate, claim, reply.claim);
     }
     poster->Post([weak, end = std::move(end)] {
       const auto self = weak.lock();
--- a/proxy/call_handler.h
+++ b/proxy/call_handler.h
@@ -5,8 +5,8 @@
 #include <optional>
 #include <string_view>
 
-#include "proxy/call_suspicion.h"
-#include "proxy/claim_hold.h"
+#include "proxy/call_quarantine_check.h"
+#include "proxy/claim_guard.h"
 #include "proxy/failure.h"
 #include "proxy/http_types.h"
 #include "proxy/proxy_loop.h"
@@ -61,7 +61,7 @@
   ProxyState& state_;
   ProxyLoop& loop_;
   asio::steady_timer wake_;
-  CallSuspicion quarantine_check_;
+  CallQuarantineCheck quarantine_check_;
   RoutingTablePtr routing_;
   const Contract* contract_ = nullptr;
   const ServiceSpec* service_ = nullptr;
@@ -73,7 +73,7 @@
   // What the last placement or refusal was based on.
   DecisionBasis basis_;
   std::shared_ptr<ClaimOutcome> claim_outcome_;
-  std::shared_ptr<ClaimHold> claim_;
+  std::shared_ptr<ClaimGuard> claim_;
   std::shared_ptr<EndpointExchange> exchange_;
   Duration at_endpoints_{};
   int sends_ = 0;
--- a/proxy/call_log.cc
+++ b/proxy/call_log.cc
@@ -60,7 +60,7 @@
       "left_out={}",
       call.text(), endpoint.text(), ToMs(basis.left), ToString(basis.word),
       ToMs(basis.source_age), basis.calls, basis.slots, ToMs(basis.asked_age),
-      basis.hosts, basis.seat.number, basis.seat.seats, *left_out);
+      basis.hosts, basis.seat.number, basis.seat.number_count, *left_out);
 }
 
 std::uint64_t CallLog::dropped() const {
--- a/proxy/call_terms.cc
+++ b/proxy/call_parameters.cc
@@ -1,4 +1,4 @@
-#include "proxy/call_terms.h"
+#include "proxy/call_parameters.h"
 
 #include <algorithm>
 
@@ -47,7 +47,7 @@
   offer.idempotent = request_class.idempotent;
   // The attempt number of an earlier hop's retry is passed on, so that no later
   // hop retries the call once more.
-  offer.is_repeat = PreviousAttempts(request, names) > 0;
+  offer.is_retry = PreviousAttempts(request, names) > 0;
   offer.deadline = offer.arrival + std::min(request_class.deadline,
                                             RequestedTimeout(request, names));
   offer.on_time_until = offer.deadline;
--- a/proxy/call_terms.h
+++ b/proxy/call_parameters.h
@@ -1,5 +1,5 @@
-#ifndef PROXY_CALL_TERMS_H_
-#define PROXY_CALL_TERMS_H_
+#ifndef PROXY_CALL_PARAMETERS_H_
+#define PROXY_CALL_PARAMETERS_H_
 
 #include "contract/contract.h"
 #include "contract/protocol_names.h"
@@ -37,4 +37,4 @@
 
 }  // namespace damasktack
 
-#endif  // PROXY_CALL_TERMS_H_
+#endif  // PROXY_CALL_PARAMETERS_H_
--- a/proxy/call_suspicion.cc
+++ b/proxy/call_quarantine_check.cc
@@ -1,12 +1,13 @@
-#include "proxy/call_suspicion.h"
+#include "proxy/call_quarantine_check.h"
 
 #include "proxy/crash_check.h"
 #include "proxy/request_digest.h"
 
 namespace damasktack {
 
-RequestFingerprint CallSuspicion::Fingerprint(std::string_view caller,
-                                              const HttpRequest& request) {
+RequestFingerprint CallQuarantineCheck::Fingerprint(
+    std::string_view caller,
+    const HttpRequest& request) {
   if (!fingerprint_) {
     fingerprint_ = FingerprintOf(caller, request);
   }
@@ -16,8 +17,8 @@
 // Any host may get the next attempt of the request. Unless all hosts share the
 // evidence, each attempt would crash one more endpoint and abort all other
 // calls there.
-bool CallSuspicion::IsQuarantined(std::string_view caller,
-                                  const HttpRequest& request) {
+bool CallQuarantineCheck::IsQuarantined(std::string_view caller,
+                                        const HttpRequest& request) {
   if (judgement_.is_trial) {
     return false;
   }
@@ -28,10 +29,10 @@
   return judgement_.suspicion == Suspicion::kQuarantined;
 }
 
-void CallSuspicion::OnSendEnd(std::string_view caller,
-                              const HttpRequest& request,
-                              const EndpointTarget& target,
-                              const ExchangeResult& sent) {
+void CallQuarantineCheck::OnSendEnd(std::string_view caller,
+                                    const HttpRequest& request,
+                                    const EndpointTarget& target,
+                                    const ExchangeResult& sent) {
   if (sent.result == SendResult::kAnswered && quarantine_.HasSuspects()) {
     quarantine_.OnAnswered(Fingerprint(caller, request), Clock::now());
   }
--- a/proxy/call_suspicion.h
+++ b/proxy/call_quarantine_check.h
@@ -1,5 +1,5 @@
-#ifndef PROXY_CALL_SUSPICION_H_
-#define PROXY_CALL_SUSPICION_H_
+#ifndef PROXY_CALL_QUARANTINE_CHECK_H_
+#define PROXY_CALL_QUARANTINE_CHECK_H_
 
 #include <optional>
 #include <string_view>
@@ -15,10 +15,10 @@
 // Checks one call against the quarantine of requests that crash endpoints:
 // tells whether its request may be sent, and reports to the quarantine how each
 // send ended. `caller` is as in FingerprintOf. Used on one I/O thread only.
-class CallSuspicion {
+class CallQuarantineCheck {
  public:
   // Both arguments must outlive this object.
-  CallSuspicion(RequestQuarantine& quarantine, asio::io_context& context)
+  CallQuarantineCheck(RequestQuarantine& quarantine, asio::io_context& context)
       : quarantine_(quarantine), context_(context) {}
 
   // Returns the request's fingerprint, computed on first use.
@@ -48,4 +48,4 @@
 
 }  // namespace damasktack
 
-#endif  // PROXY_CALL_SUSPICION_H_
+#endif  // PROXY_CALL_QUARANTINE_CHECK_H_
--- a/proxy/claim_answers.cc
+++ b/proxy/claim_answers.cc
@@ -17,21 +17,21 @@
   }
 }
 
-HttpResponse ToHttpResponse(const KeptAnswer& kept) {
+HttpResponse ToHttpResponse(const StoredAnswer& kept) {
   HttpResponse answer(static_cast<http::status>(kept.status), 11);
   answer.set(http::field::content_type, kept.content_type);
   answer.body() = kept.body;
   return answer;
 }
 
-std::optional<KeptAnswer> ToKeptAnswer(
+std::optional<StoredAnswer> ToKeptAnswer(
     const std::optional<HttpResponse>& answer) {
   if (!answer) {
     return std::nullopt;
   }
-  return KeptAnswer{static_cast<int>(answer->result_int()),
-                    std::string((*answer)[http::field::content_type]),
-                    answer->body()};
+  return StoredAnswer{static_cast<int>(answer->result_int()),
+                      std::string((*answer)[http::field::content_type]),
+                      answer->body()};
 }
 
 }  // namespace damasktack
--- a/proxy/claim_answers.h
+++ b/proxy/claim_answers.h
@@ -15,8 +15,8 @@
 
 // Converts between an HTTP answer and the stored form of the answer to an
 // earlier call under the same key. ToKeptAnswer returns null without an answer.
-HttpResponse ToHttpResponse(const KeptAnswer& kept);
-std::optional<KeptAnswer> ToKeptAnswer(
+HttpResponse ToHttpResponse(const StoredAnswer& kept);
+std::optional<StoredAnswer> ToKeptAnswer(
     const std::optional<HttpResponse>& answer);
 
 }  // namespace damasktack
--- a/proxy/claim_hold.cc
+++ b/proxy/claim_guard.cc
@@ -1,17 +1,19 @@
-#include "proxy/claim_hold.h"
+#include "proxy/claim_guard.h"
 
 #include <utility>
 
 namespace damasktack {
 
-ClaimHold::ClaimHold(ClaimGate& gate, ClaimRequest request, std::uint64_t claim)
+ClaimGuard::ClaimGuard(ClaimGate& gate,
+                       ClaimRequest request,
+                       std::uint64_t claim)
     : gate_(gate), request_(std::move(request)), claim_(claim) {}
 
-ClaimHold::~ClaimHold() {
+ClaimGuard::~ClaimGuard() {
   Settle(sent_ ? Outcome::kUnknown : Outcome::kNotRun, std::nullopt);
 }
 
-void ClaimHold::Settle(Outcome outcome, std::optional<KeptAnswer> answer) {
+void ClaimGuard::Settle(Outcome outcome, std::optional<StoredAnswer> answer) {
   if (settled_) {
     return;
   }
--- a/proxy/claim_hold.h
+++ b/proxy/claim_guard.h
@@ -1,5 +1,5 @@
-#ifndef PROXY_CLAIM_HOLD_H_
-#define PROXY_CLAIM_HOLD_H_
+#ifndef PROXY_CLAIM_GUARD_H_
+#define PROXY_CLAIM_GUARD_H_
 
 #include <optional>
 
@@ -11,19 +11,19 @@
 // disconnects before the grant arrives, the call is refused, or the process
 // stops. A grant that is never settled would block its key permanently; one
 // settled as not run after a send would let the call run twice.
-class ClaimHold {
+class ClaimGuard {
  public:
-  ClaimHold(ClaimGate& gate, ClaimRequest request, std::uint64_t claim);
+  ClaimGuard(ClaimGate& gate, ClaimRequest request, std::uint64_t claim);
   // Settles the claim if this has not been done: as unknown if the call was
   // sent, else as not run.
-  ~ClaimHold();
-  ClaimHold(const ClaimHold&) = delete;
-  ClaimHold& operator=(const ClaimHold&) = delete;
+  ~ClaimGuard();
+  ClaimGuard(const ClaimGuard&) = delete;
+  ClaimGuard& operator=(const ClaimGuard&) = delete;
 
   // Must be called before the first byte of the call is sent to an endpoint.
   void MarkSent() { sent_ = true; }
   // Only the first call has an effect.
-  void Settle(Outcome outcome, std::optional<KeptAnswer> answer);
+  void Settle(Outcome outcome, std::optional<StoredAnswer> answer);
 
  private:
   ClaimGate& gate_;
@@ -35,4 +35,4 @@
 
 }  // namespace damasktack
 
-#endif  // PROXY_CLAIM_HOLD_H_
+#endif  // PROXY_CLAIM_GUARD_H_
--- a/proxy/loop_door.h
+++ b/proxy/loop_poster.h
@@ -1,5 +1,5 @@
-#ifndef PROXY_LOOP_DOOR_H_
-#define PROXY_LOOP_DOOR_H_
+#ifndef PROXY_LOOP_POSTER_H_
+#define PROXY_LOOP_POSTER_H_
 
 #include <functional>
 #include <mutex>
@@ -11,9 +11,9 @@
 // Posts work to one event loop from any thread. Callbacks that may outlive the
 // loop (in a gate or a balancer) hold this object instead of an executor,
 // because a late callback would otherwise post to a destroyed loop.
-class LoopDoor {
+class LoopPoster {
  public:
-  explicit LoopDoor(asio::io_context& context);
+  explicit LoopPoster(asio::io_context& context);
 
   // Discards the work if the loop has ended. Work that the loop does not get to
   // run is destroyed with the loop, so anything that must happen belongs in a
@@ -29,4 +29,4 @@
 
 }  // namespace damasktack
 
-#endif  // PROXY_LOOP_DOOR_H_
+#endif  // PROXY_LOOP_POSTER_H_
--- a/proxy/proxy_loop.cc
+++ b/proxy/proxy_loop.cc
@@ -6,7 +6,7 @@
     : pool_(endpoint_idle),
       context_(std::make_unique<asio::io_context>(1)),
       work_(context_->get_executor()),
-      poster_(std::make_shared<LoopDoor>(*context_)) {}
+      poster_(std::make_shared<LoopPoster>(*context_)) {}
 
 ProxyLoop::~ProxyLoop() {
   Stop();
--- a/proxy/proxy_loop.h
+++ b/proxy/proxy_loop.h
@@ -6,7 +6,7 @@
 #include <unordered_set>
 
 #include "proxy/endpoint_pool.h"
-#include "proxy/loop_door.h"
+#include "proxy/loop_poster.h"
 
 namespace damasktack {
 
@@ -25,7 +25,7 @@
 
   asio::io_context& context() { return *context_; }
   EndpointPool& pool() { return pool_; }
-  const std::shared_ptr<LoopDoor>& poster() const { return poster_; }
+  const std::shared_ptr<LoopPoster>& poster() const { return poster_; }
   // Must be used on the loop's own thread only.
   std::unordered_set<CallerSession*>& sessions() { return sessions_; }
 
@@ -34,7 +34,7 @@
   std::unordered_set<CallerSession*> sessions_;
   std::unique_ptr<asio::io_context> context_;
   asio::executor_work_guard<asio::io_context::executor_type> work_;
-  std::shared_ptr<LoopDoor> poster_;
+  std::shared_ptr<LoopPoster> poster_;
   std::thread thread_;
 };
 
--- a/proxy/service_dispatcher.cc
+++ b/proxy/service_dispatcher.cc
@@ -174,7 +174,7 @@
   balancer_->OnPeerDrain(endpoint, now);
 }
 
-std::set<EndpointId> ServiceDispatcher::TakeDrainSightings() {
+std::set<EndpointId> ServiceDispatcher::TakeDrainObservations() {
   const std::lock_guard lock(mutex_);
   return std::exchange(observed_drains_, {});
 }
--- a/proxy/service_dispatcher.h
+++ b/proxy/service_dispatcher.h
@@ -100,7 +100,7 @@
   // Returns the endpoints that have reported to this host since the last call
   // that they are draining. Reports from other hosts are excluded, because
   // hosts would otherwise keep repeating a wrong report to each other.
-  std::set<EndpointId> TakeDrainSightings();
+  std::set<EndpointId> TakeDrainObservations();
   // Returns true if calls are still waiting afterwards.
   bool Tick(TimePoint now);
   bool probes_while_idle() const { return balancer_->probes_while_idle(); }
--- a/standin/load_emulator.h
+++ b/standin/load_emulator.h
@@ -55,7 +55,8 @@
   int hosts = 18;
   // How many of them each host believes that there are; 0 where it knows.
   int believed_hosts = 0;
-  // Whether each host has a seat; hosts that believe in fewer share seats.
+  // Whether each host has a seat; hosts that believe in fewer share
+  // number_count.
   bool have_seats = true;
   double calls_per_second = 180;
   double middle_factor = 1;
--- a/tests/policy/test_service_balancer.cc
+++ b/tests/policy/test_service_balancer.cc
@@ -299,7 +299,7 @@
   CHECK(balancer.Finish(offer, end, kStart, out) == AfterSend::kDone);
   out.clear();
   offer.token = 2;
-  offer.is_repeat = true;
+  offer.is_retry = true;
   balancer.Offer(offer, kStart, out);
   end = EndOf(out.dispatches.at(0), SendResult::kFailed);
   CHECK(balancer.Finish(offer, end, kStart, out) == AfterSend::kDone);
--- a/tests/proxy/test_call_handler.cc
+++ b/tests/proxy/test_call_handler.cc
@@ -37,7 +37,7 @@
   void Settle(const ClaimRequest& /*request*/,
               std::uint64_t claim,
               Outcome outcome,
-              std::optional<KeptAnswer> answer) override {
+              std::optional<StoredAnswer> answer) override {
     const std::lock_guard lock(mutex_);
     CHECK(claim == kClaim);
     settled_.push_back(outcome);
@@ -51,7 +51,7 @@
     });
   }
   void Answer(ClaimVerdict verdict,
-              std::optional<KeptAnswer> answer = std::nullopt) {
+              std::optional<StoredAnswer> answer = std::nullopt) {
     std::function<void(const ClaimReply&)> done;
     {
       const std::lock_guard lock(mutex_);
@@ -64,7 +64,7 @@
     const std::lock_guard lock(mutex_);
     return settled_;
   }
-  std::optional<KeptAnswer> kept() {
+  std::optional<StoredAnswer> kept() {
     const std::lock_guard lock(mutex_);
     return kept_;
   }
@@ -75,7 +75,7 @@
   std::mutex mutex_;
   std::vector<std::function<void(const ClaimReply&)>> pending_claims_;
   std::vector<Outcome> settled_;
-  std::optional<KeptAnswer> kept_;
+  std::optional<StoredAnswer> kept_;
 };
 
 class CountingLimitGate : public LimitGate {
@@ -140,7 +140,7 @@
   fixture.claims.Answer(ClaimVerdict::kGranted);
   CHECK(BodyOf(caller.ReadMessage()) == "ran");
   CHECK(fixture.claims.settled() == Settled{Outcome::kComplete});
-  CHECK(fixture.claims.kept() == KeptAnswer{200, "text/plain", "ran"});
+  CHECK(fixture.claims.kept() == StoredAnswer{200, "text/plain", "ran"});
 }
 
 // The caller disconnects while the claim is being requested from the replicas.
@@ -223,14 +223,14 @@
 
 struct Verdict {
   ClaimVerdict verdict;
-  std::optional<KeptAnswer> answer;
+  std::optional<StoredAnswer> answer;
   int status;
   const char* outcome;
 };
 
 TEST_CASE("a call without a grant is not sent and its caller is told why") {
   const std::vector<Verdict> verdicts = {
-      {ClaimVerdict::kAlreadyRan, KeptAnswer{201, "a/b", "earlier"}, 201,
+      {ClaimVerdict::kAlreadyRan, StoredAnswer{201, "a/b", "earlier"}, 201,
        "complete"},
       {ClaimVerdict::kAlreadyRan, std::nullopt, 409, "unknown"},
       {ClaimVerdict::kInProgress, std::nullopt, 409, "unknown"},
--- a/tests/wire/test_websocket_transport.cc
+++ b/tests/wire/test_websocket_transport.cc
@@ -94,8 +94,8 @@
     options.host = id;
     options.incarnation = incarnation;
     options.fleet_key = key;
-    options.shortest_backoff = milliseconds(10);
-    options.longest_backoff = milliseconds(50);
+    options.min_backoff = milliseconds(10);
+    options.max_backoff = milliseconds(50);
     options.dial_grace = milliseconds(100);
     if (change) {
       change(options);
@@ -258,7 +258,7 @@
 
 TEST_CASE("a malformed or oversized frame closes only its connection") {
   Host one("a", 11, "the fleet's key",
-           [](auto& options) { options.largest_frame = 1000; });
+           [](auto& options) { options.max_frame_bytes = 1000; });
   Host bystander("c", 44);
   bystander.transport.SetPeers({one.address});
   CHECK(WaitFor([&] { return one.events.IncarnationOf("c") == 44; }));
@@ -286,7 +286,7 @@
 // for a bounded time, and a daemon of the fleet can still connect.
 TEST_CASE("silent connections are bounded in number and time") {
   Host one("a", 11, "the fleet's key", [](auto& options) {
-    options.unproved_connections = 4;
+    options.max_unauthenticated_connections = 4;
     options.proof_timeout = milliseconds(200);
   });
   asio::io_context context;
@@ -324,9 +324,9 @@
   Host two("b", 22);
   one.transport.SetPeers({two.address});
   CHECK(WaitFor([&] { return one.events.IncarnationOf("b") == 22; }));
-  two.transport.CutLinksTo({"a"});
+  two.transport.BlockLinksTo({"a"});
   CHECK(WaitFor([&] { return one.events.IncarnationOf("b") == 0; }));
-  two.transport.CutLinksTo({});
+  two.transport.BlockLinksTo({});
   CHECK(WaitFor([&] { return one.events.IncarnationOf("b") == 22; }));
 }
 
--- a/wire/transport_tally.cc
+++ b/wire/atomic_transport_counters.cc
@@ -1,8 +1,8 @@
-#include "wire/transport_tally.h"
+#include "wire/atomic_transport_counters.h"
 
 namespace damasktack::detail {
 
-TransportCounters TransportTally::Read() const {
+TransportCounters AtomicTransportCounters::Read() const {
   TransportCounters counted;
   counted.links_opened = links_opened;
   counted.links_closed = links_closed;
--- a/wire/transport_tally.h
+++ b/wire/atomic_transport_counters.h
@@ -1,5 +1,5 @@
-#ifndef WIRE_TRANSPORT_TALLY_H_
-#define WIRE_TRANSPORT_TALLY_H_
+#ifndef WIRE_ATOMIC_TRANSPORT_COUNTERS_H_
+#define WIRE_ATOMIC_TRANSPORT_COUNTERS_H_
 
 #include <atomic>
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 // Atomic counterpart of TransportCounters: incremented on the transport's
 // thread and by senders, read on any thread.
-struct TransportTally {
+struct AtomicTransportCounters {
   std::atomic<std::uint64_t> links_opened = 0;
   std::atomic<std::uint64_t> links_closed = 0;
   std::atomic<std::uint64_t> dials_failed = 0;
@@ -31,4 +31,4 @@
 
 }  // namespace damasktack::detail
 
-#endif  // WIRE_TRANSPORT_TALLY_H_
+#endif  // WIRE_ATOMIC_TRANSPORT_COUNTERS_H_
--- a/wire/cut_list.cc
+++ b/wire/blocked_hosts.cc
@@ -1,4 +1,4 @@
-#include "wire/cut_list.h"
+#include "wire/blocked_hosts.h"
 
 #include <fstream>
 
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-bool CutList::RefreshFromFile(SteadyTime now) {
+bool BlockedHosts::RefreshFromFile(SteadyTime now) {
   if (file_.empty() || now < next_read_) {
     return false;
   }
--- a/wire/cut_list.h
+++ b/wire/blocked_hosts.h
@@ -1,5 +1,5 @@
-#ifndef WIRE_CUT_LIST_H_
-#define WIRE_CUT_LIST_H_
+#ifndef WIRE_BLOCKED_HOSTS_H_
+#define WIRE_BLOCKED_HOSTS_H_
 
 #include <set>
 #include <string>
@@ -11,10 +11,10 @@
 
 // The hosts to which links are blocked, for partition tests only. Used on the
 // transport's thread only.
-class CutList {
+class BlockedHosts {
  public:
   // `file` is empty if the list is not read from a file.
-  explicit CutList(std::string file) : file_(std::move(file)) {}
+  explicit BlockedHosts(std::string file) : file_(std::move(file)) {}
 
   bool Has(const std::string& host) const { return hosts_.count(host) > 0; }
   void Set(std::set<std::string> hosts) { hosts_ = std::move(hosts); }
@@ -30,4 +30,4 @@
 
 }  // namespace damasktack::detail
 
-#endif  // WIRE_CUT_LIST_H_
+#endif  // WIRE_BLOCKED_HOSTS_H_
--- a/wire/dial_schedule.cc
+++ b/wire/dial_schedule.cc
@@ -65,10 +65,9 @@
     if (!(it.address == address)) {
       continue;
     }
-    const auto doubled =
-        std::min(std::max(it.backoff * 2, options_.shortest_backoff),
-                 options_.longest_backoff);
-    it.backoff = opened ? options_.shortest_backoff : doubled;
+    const auto doubled = std::min(
+        std::max(it.backoff * 2, options_.min_backoff), options_.max_backoff);
+    it.backoff = opened ? options_.min_backoff : doubled;
     it.due = SteadyClock::now() + Jittered(it.backoff);
     it.dialing = false;
   }
--- a/wire/link_hub.cc
+++ b/wire/link_hub.cc
@@ -12,9 +12,10 @@
       events_(events),
       timer_(context_),
       endpoints_(context_, options_, *this),
-      unauthenticated_(options_.unproved_connections, options_.proof_timeout),
+      unauthenticated_(options_.max_unauthenticated_connections,
+                       options_.proof_timeout),
       dials_(options_),
-      blocked_hosts_(options_.cut_file) {}
+      blocked_hosts_(options_.blocked_hosts_file) {}
 
 std::error_code LinkHub::Start() {
   const std::error_code problem = endpoints_.Listen();
@@ -56,7 +57,7 @@
 
 bool LinkHub::Send(const std::string& host, std::string frame) {
   const PeerLinkPtr link = links_.Find(host);
-  if (!link || frame.size() > options_.largest_frame ||
+  if (!link || frame.size() > options_.max_frame_bytes ||
       link->backlog + frame.size() > options_.link_queue_bytes) {
     ++counters_.frames_dropped;
     return false;
@@ -68,7 +69,7 @@
   return true;
 }
 
-void LinkHub::CutLinksTo(std::vector<std::string> hosts) {
+void LinkHub::BlockLinksTo(std::vector<std::string> hosts) {
   asio::post(context_, [this, hosts = std::move(hosts)] {
     blocked_hosts_.Set(std::set<std::string>(hosts.begin(), hosts.end()));
     CloseBlocked();
@@ -229,7 +230,8 @@
   }
   link->Open();
   unauthenticated_.Remove(link->handle);
-  endpoints_.SetLargestMessage(*link, options_.largest_frame + kFrameTagBytes);
+  endpoints_.SetLargestMessage(*link,
+                               options_.max_frame_bytes + kFrameTagBytes);
   links_.Put(link);
   if (link->dialed) {
     dials_.OnDialEnded(link->target, true);
--- a/wire/link_hub.h
+++ b/wire/link_hub.h
@@ -11,12 +11,12 @@
 #include <thread>
 #include <vector>
 
-#include "wire/cut_list.h"
+#include "wire/atomic_transport_counters.h"
+#include "wire/blocked_hosts.h"
 #include "wire/dial_schedule.h"
 #include "wire/link_table.h"
 #include "wire/peer_link.h"
-#include "wire/transport_tally.h"
-#include "wire/unproved_connections.h"
+#include "wire/unauthenticated_connections.h"
 #include "wire/websocket_endpoints.h"
 #include "wire/websocket_transport.h"
 
@@ -37,7 +37,7 @@
   void Stop();
   void SetPeers(std::vector<PeerAddress> peers);
   bool Send(const std::string& host, std::string frame);
-  void CutLinksTo(std::vector<std::string> hosts);
+  void BlockLinksTo(std::vector<std::string> hosts);
   std::uint16_t port() const { return endpoints_.port(); }
   TransportCounters counters() const { return counters_.Read(); }
 
@@ -79,14 +79,14 @@
   boost::asio::steady_timer timer_;
   WebsocketEndpoints endpoints_;
   std::thread thread_;
-  TransportTally counters_;
+  AtomicTransportCounters counters_;
   LinkTable links_;
 
   // Used on the transport's thread only.
   HandleMap<PeerLinkPtr> connections_;
-  UnprovedConnections unauthenticated_;
+  UnauthenticatedConnections unauthenticated_;
   DialSchedule dials_;
-  CutList blocked_hosts_;
+  BlockedHosts blocked_hosts_;
   bool stopping_ = false;
 };
 
--- a/wire/unproved_connections.cc
+++ b/wire/unauthenticated_connections.cc
@@ -1,10 +1,10 @@
-#include "wire/unproved_connections.h"
+#include "wire/unauthenticated_connections.h"
 
 #include <iterator>
 
 namespace damasktack::detail {
 
-bool UnprovedConnections::Add(const Handle& handle, SteadyTime now) {
+bool UnauthenticatedConnections::Add(const Handle& handle, SteadyTime now) {
   if (since_.size() >= max_connections_) {
     return false;
   }
@@ -12,7 +12,7 @@
   return true;
 }
 
-void UnprovedConnections::Expire(SteadyTime now) {
+void UnauthenticatedConnections::Expire(SteadyTime now) {
   for (auto it = since_.begin(); it != since_.end();) {
     const bool gone =
         it->first.expired() || now - it->second > 2 * proof_timeout_;
--- a/wire/unproved_connections.h
+++ b/wire/unauthenticated_connections.h
@@ -1,5 +1,5 @@
-#ifndef WIRE_UNPROVED_CONNECTIONS_H_
-#define WIRE_UNPROVED_CONNECTIONS_H_
+#ifndef WIRE_UNAUTHENTICATED_CONNECTIONS_H_
+#define WIRE_UNAUTHENTICATED_CONNECTIONS_H_
 
 #include <chrono>
 #include <cstddef>
@@ -10,10 +10,10 @@
 
 // Accepted connections whose peers are not authenticated yet, bounded in number
 // and age. Used on the transport's thread only.
-class UnprovedConnections {
+class UnauthenticatedConnections {
  public:
-  UnprovedConnections(std::size_t max_connections,
-                      std::chrono::milliseconds proof_timeout)
+  UnauthenticatedConnections(std::size_t max_connections,
+                             std::chrono::milliseconds proof_timeout)
       : max_connections_(max_connections), proof_timeout_(proof_timeout) {}
 
   // Returns false if the maximum number is reached.
@@ -32,4 +32,4 @@
 
 }  // namespace damasktack::detail
 
-#endif  // WIRE_UNPROVED_CONNECTIONS_H_
+#endif  // WIRE_UNAUTHENTICATED_CONNECTIONS_H_
--- a/wire/websocket_transport.cc
+++ b/wire/websocket_transport.cc
@@ -38,8 +38,8 @@
   return hub_->counters();
 }
 
-void WebsocketTransport::CutLinksTo(std::vector<std::string> hosts) {
-  hub_->CutLinksTo(std::move(hosts));
+void WebsocketTransport::BlockLinksTo(std::vector<std::string> hosts) {
+  hub_->BlockLinksTo(std::move(hosts));
 }
 
 }  // namespace damasktack
--- a/wire/websocket_transport.h
+++ b/wire/websocket_transport.h
@@ -28,16 +28,16 @@
   // 0 selects a free port.
   std::uint16_t listen_port = 0;
   // Maximum payload size of a frame; a larger one closes its link.
-  std::size_t largest_frame = 1'100'000;
+  std::size_t max_frame_bytes = 1'100'000;
   // Maximum bytes queued for one link; further frames are dropped.
   std::size_t link_queue_bytes = 8'000'000;
   // Maximum accepted connections whose peers are not authenticated yet.
-  std::size_t unproved_connections = 64;
+  std::size_t max_unauthenticated_connections = 64;
   std::chrono::milliseconds proof_timeout{2000};
   // A link on which nothing was received for this long is closed.
   std::chrono::milliseconds silence_timeout{15'000};
-  std::chrono::milliseconds shortest_backoff{100};
-  std::chrono::milliseconds longest_backoff{5000};
+  std::chrono::milliseconds min_backoff{100};
+  std::chrono::milliseconds max_backoff{5000};
   // Of two hosts that list each other, the one with the lower id dials at once.
   // The other one dials after this delay, in case the first does not list it
   // yet.
@@ -45,7 +45,7 @@
   // For partition tests with real processes only: a file with the ids of the
   // hosts to which links are blocked, one per line. Read again periodically.
   // Empty for none.
-  std::string cut_file;
+  std::string blocked_hosts_file;
 };
 
 // PeerTransport over websockets. Its own thread runs all links and calls the
@@ -74,7 +74,7 @@
 
   // For partition tests only: closes links to these hosts and opens none until
   // the next call.
-  void CutLinksTo(std::vector<std::string> hosts);
+  void BlockLinksTo(std::vector<std::string> hosts);
 
  private:
   std::unique_ptr<detail::LinkHub> hub_;
