--- a/fleet/claim_client.cc
+++ b/fleet/claim_client.cc
@@ -76,57 +76,57 @@
 }
 
 void ClaimClient::On(const Sender& sender,
-                     const GrantReply& answer,
+                     const GrantReply& reply,
                      ClaimReplica& replica,
                      TimePoint now,
                      Outbox& out) {
-  if (answer.replicas) {
-    replica.LearnReplicas(*answer.replicas);
+  if (reply.replicas) {
+    replica.LearnReplicas(*reply.replicas);
   }
-  const auto it = pending_.find(answer.claim);
+  const auto it = pending_.find(reply.claim);
   if (it == pending_.end()) {
     // A repeated request that arrived late was granted after the claim had
     // finished here, so the key must be released.
-    const bool granted = answer.verdict == ClaimVerdict::kGranted;
-    const auto ending = unsettled_.find(answer.claim);
+    const bool granted = reply.verdict == ClaimVerdict::kGranted;
+    const auto ending = unsettled_.find(reply.claim);
     if (granted && ending != unsettled_.end()) {
       ending->second.primary_done = false;
       ending->second.secondary_done = false;
-    } else if (granted && !running_.contains(answer.claim)) {
+    } else if (granted && !running_.contains(reply.claim)) {
       ClaimRecord request;
-      request.customer = answer.customer;
-      request.key = answer.key;
-      request.claim = answer.claim;
+      request.customer = reply.customer;
+      request.key = reply.key;
+      request.claim = reply.claim;
       Release(request, replica, now, out);
     }
     return;
   }
   PendingClaim& pending = it->second;
   const auto& known = replica.KnownReplicas(pending.bucket);
-  if (!known || known->ballot != answer.ballot) {
-    if (answer.replicas && pending.sent_at < now) {
+  if (!known || known->ballot != reply.ballot) {
+    if (reply.replicas && pending.sent_at < now) {
       Send(pending, replica, now, out);
     }
     return;
   }
-  if (answer.verdict == ClaimVerdict::kUnavailable) {
+  if (reply.verdict == ClaimVerdict::kUnavailable) {
     return;
   }
-  if (answer.verdict != ClaimVerdict::kGranted) {
+  if (reply.verdict != ClaimVerdict::kGranted) {
     const ClaimRecord request = pending.request;
-    Finish(answer.claim, ClaimReply{answer.verdict, answer.answer, 0,
-                                    std::chrono::seconds(1)});
+    Finish(reply.claim,
+           ClaimReply{reply.verdict, reply.answer, 0, std::chrono::seconds(1)});
     Release(request, replica, now, out);
     return;
   }
   if (sender.host == known->primary) {
-    pending.primary_granted = answer.ballot;
+    pending.primary_granted = reply.ballot;
   }
   if (sender.host == known->secondary &&
-      pending.primary_granted == answer.ballot) {
-    running_.emplace(answer.claim, pending.bucket);
-    Finish(answer.claim,
-           ClaimReply{ClaimVerdict::kGranted, std::nullopt, answer.claim, {}});
+      pending.primary_granted == reply.ballot) {
+    running_.emplace(reply.claim, pending.bucket);
+    Finish(reply.claim,
+           ClaimReply{ClaimVerdict::kGranted, std::nullopt, reply.claim, {}});
     return;
   }
   Send(pending, replica, now, out);
