--- a/fleet/claim_exchange.h
+++ b/fleet/claim_exchange.h
@@ -42,7 +42,7 @@
   void Settle(const ClaimRequest& request,
               std::uint64_t claim,
               Outcome outcome,
-              std::optional<StoredAnswer> answer,
+              std::optional<KeptAnswer> answer,
               TimePoint now,
               Outbox& out);
 
--- a/fleet/claim_messages.h
+++ b/fleet/claim_messages.h
@@ -62,7 +62,7 @@
   bool ended = false;
   // Time since the claim ended.
   Duration age{};
-  std::optional<StoredAnswer> answer;
+  std::optional<KeptAnswer> answer;
 
   Json ToJson() const;
   static leaf::result<ClaimRecord> Parse(const Json& json,
@@ -165,7 +165,7 @@
   std::string key;
   std::uint64_t claim = 0;
   ClaimVerdict verdict = ClaimVerdict::kUnavailable;
-  std::optional<StoredAnswer> answer;
+  std::optional<KeptAnswer> answer;
   // If the verdict is kUnavailable: the replicas known to the sender.
   std::optional<ClaimReplicas> replicas;
 
