--- a/fleet/fleet_core.h
+++ b/fleet/fleet_core.h
@@ -63,8 +63,8 @@
   // check, or the read has failed.
   void OnPlatformQueried(DocumentName name, std::uint64_t check, TimePoint now);
   // An endpoint has reported to this host that it is draining.
-  void OnDrainObserved(const DrainObservation& sighting, TimePoint now) {
-    drains_.OnObserved(sighting, now, out_);
+  void OnDrainObserved(const DrainObservation& observation, TimePoint now) {
+    drains_.OnObserved(observation, now, out_);
   }
   // Returns the drains reported by peers since the last call.
   std::set<DrainObservation> TakePeerDrains() { return drains_.TakeReceived(); }
