--- a/fleet/claim_client.cc
+++ b/fleet/claim_client.cc
@@ -168,7 +168,7 @@
 void ClaimClient::Settle(const ClaimRequest& request,
                          std::uint64_t claim,
                          Outcome outcome,
-                         std::optional<KeptAnswer> answer,
+                         std::optional<StoredAnswer> answer,
                          ClaimReplica& replica,
                          TimePoint now,
                          Outbox& out) {
--- a/fleet/claim_client.h
+++ b/fleet/claim_client.h
@@ -44,7 +44,7 @@
   void Settle(const ClaimRequest& request,
               std::uint64_t claim,
               Outcome outcome,
-              std::optional<KeptAnswer> answer,
+              std::optional<StoredAnswer> answer,
               ClaimReplica& replica,
               TimePoint now,
               Outbox& out);
--- a/fleet/claim_exchange.cc
+++ b/fleet/claim_exchange.cc
@@ -83,7 +83,7 @@
 void ClaimExchange::Settle(const ClaimRequest& request,
                            std::uint64_t claim,
                            Outcome outcome,
-                           std::optional<KeptAnswer> answer,
+                           std::optional<StoredAnswer> answer,
                            TimePoint now,
                            Outbox& out) {
   Outbox sent;
--- a/fleet/claim_exchange.h
+++ b/fleet/claim_exchange.h
@@ -42,7 +42,7 @@
   void Settle(const ClaimRequest& request,
               std::uint64_t claim,
               Outcome outcome,
-              std::optional<KeptAnswer> answer,
+              std::optional<StoredAnswer> answer,
               TimePoint now,
               Outbox& out);
 
--- a/fleet/claim_gate.h
+++ b/fleet/claim_gate.h
@@ -25,12 +25,12 @@
 };
 
 // The stored answer of an earlier execution of a call.
-struct KeptAnswer {
+struct StoredAnswer {
   int status = 0;
   std::string content_type;
   std::string body;
 
-  bool operator==(const KeptAnswer&) const = default;
+  bool operator==(const StoredAnswer&) const = default;
 };
 
 enum class ClaimVerdict : std::uint8_t {
@@ -51,7 +51,7 @@
 // The result of a claim.
 struct ClaimReply {
   ClaimVerdict verdict = ClaimVerdict::kUnavailable;
-  std::optional<KeptAnswer> answer;
+  std::optional<StoredAnswer> answer;
   // Identifies a granted claim, for Settle.
   std::uint64_t claim = 0;
   Duration retry_after = std::chrono::seconds(1);
@@ -71,7 +71,7 @@
   virtual void Settle(const ClaimRequest& request,
                       std::uint64_t claim,
                       Outcome outcome,
-                      std::optional<KeptAnswer> answer) = 0;
+                      std::optional<StoredAnswer> answer) = 0;
 };
 
 // Grants every claim. For tests and for a standalone daemon.
@@ -84,7 +84,7 @@
   void Settle(const ClaimRequest& /*request*/,
               std::uint64_t /*claim*/,
               Outcome /*outcome*/,
-              std::optional<KeptAnswer> /*answer*/) override {}
+              std::optional<StoredAnswer> /*answer*/) override {}
 };
 
 }  // namespace damasktack
--- a/fleet/claim_messages.cc
+++ b/fleet/claim_messages.cc
@@ -47,7 +47,7 @@
 
 // The body is encoded as binary, as it may hold any bytes and CBOR text must be
 // UTF-8.
-Json AnswerToJson(const KeptAnswer& answer) {
+Json AnswerToJson(const StoredAnswer& answer) {
   const std::vector<std::uint8_t> body(answer.body.begin(), answer.body.end());
   Json json{{"status", answer.status}, {"body", Json::binary(body)}};
   if (!answer.content_type.empty()) {
@@ -56,12 +56,12 @@
   return json;
 }
 
-void ReadAnswer(JsonReader& reader, std::optional<KeptAnswer>& out) {
+void ReadAnswer(JsonReader& reader, std::optional<StoredAnswer>& out) {
   const Json* json = reader.OptionalObject("answer");
   if (json == nullptr) {
     return;
   }
-  KeptAnswer answer;
+  StoredAnswer answer;
   std::int64_t status = 0;
   JsonReader nested(*json, reader.PathOf("answer"));
   nested.Read("status", status, 100, 599);
--- a/fleet/claim_messages.h
+++ b/fleet/claim_messages.h
@@ -62,7 +62,7 @@
   bool ended = false;
   // Time since the claim ended.
   Duration age{};
-  std::optional<KeptAnswer> answer;
+  std::optional<StoredAnswer> answer;
 
   Json ToJson() const;
   static leaf::result<ClaimRecord> Parse(const Json& json,
@@ -165,7 +165,7 @@
   std::string key;
   std::uint64_t claim = 0;
   ClaimVerdict verdict = ClaimVerdict::kUnavailable;
-  std::optional<KeptAnswer> answer;
+  std::optional<StoredAnswer> answer;
   // If the verdict is kUnavailable: the replicas known to the sender.
   std::optional<ClaimReplicas> replicas;
 
--- a/fleet/document_store.cc
+++ b/fleet/document_store.cc
@@ -244,7 +244,7 @@
   }
   slot.requested_at = now;
   slot.requested_version = theirs;
-  ++counters_.asks_sent;
+  ++counters_.requests_sent;
   out.Send(from, DocumentRequest{name, slot.version});
 }
 
--- a/fleet/document_store.h
+++ b/fleet/document_store.h
@@ -45,7 +45,7 @@
   // Documents offered with the revision in force but a different body.
   std::uint64_t conflicts = 0;
   std::uint64_t digests_sent = 0;
-  std::uint64_t asks_sent = 0;
+  std::uint64_t requests_sent = 0;
   std::uint64_t pushes_sent = 0;
 };
 
--- a/fleet/feed_options.h
+++ b/fleet/feed_options.h
@@ -71,9 +71,9 @@
   // seed, all hosts that are not seeds together make one call per
   // `outage_call_spacing`, so that the number of calls does not grow with the
   // fleet.
-  Duration shortest_backoff = std::chrono::milliseconds(150);
-  Duration longest_backoff = std::chrono::milliseconds(700);
-  Duration longest_follower_backoff = std::chrono::milliseconds(2000);
+  Duration min_backoff = std::chrono::milliseconds(150);
+  Duration max_backoff = std::chrono::milliseconds(700);
+  Duration max_follower_backoff = std::chrono::milliseconds(2000);
   Duration outage_call_spacing = std::chrono::milliseconds(100);
   // Interval at which a seed that cannot reach the store sends outage notices,
   // and how long a notice is valid: two of them may be lost.
--- a/fleet/fleet_claim_gate.cc
+++ b/fleet/fleet_claim_gate.cc
@@ -50,7 +50,7 @@
 void FleetClaimGate::Settle(const ClaimRequest& request,
                             std::uint64_t claim,
                             Outcome outcome,
-                            std::optional<KeptAnswer> answer) {
+                            std::optional<StoredAnswer> answer) {
   // If the queue is full, the key stays claimed. This is safe, and the record
   // shows up in the number of granted ones.
   Enqueue([this, request, claim, outcome, answer = std::move(answer)](
--- a/fleet/fleet_claim_gate.h
+++ b/fleet/fleet_claim_gate.h
@@ -27,7 +27,7 @@
   void Settle(const ClaimRequest& request,
               std::uint64_t claim,
               Outcome outcome,
-              std::optional<KeptAnswer> answer) override;
+              std::optional<StoredAnswer> answer) override;
 
   // Sets a function that makes the fleet loop call Tick soon. While it is not
   // set, before the loop starts and after it has ended, every claim is
--- a/fleet/fleet_loop.cc
+++ b/fleet/fleet_loop.cc
@@ -140,7 +140,7 @@
     UpdateLinks();
     Publish(is_tick_due);
     for (const DrainObservation& it : core_.TakePeerDrains()) {
-      events_.OnHeardDrain(it);
+      events_.OnPeerDrainObserved(it);
     }
     const std::lock_guard lock(mutex_);
     if (stopping_ && queue_.empty()) {
--- a/fleet/fleet_loop.h
+++ b/fleet/fleet_loop.h
@@ -34,7 +34,7 @@
   // changed.
   virtual void OnFleetState(std::shared_ptr<const FleetState> state) = 0;
   // A peer has reported that this endpoint is draining.
-  virtual void OnHeardDrain(const DrainObservation& observation) = 0;
+  virtual void OnPeerDrainObserved(const DrainObservation& observation) = 0;
 };
 
 // Runs a FleetCore on a dedicated thread. Other threads access it by posting
--- a/fleet/published_feed.cc
+++ b/fleet/published_feed.cc
@@ -167,8 +167,7 @@
   backoff_ = Duration::zero();
   next_call_ = now;
   if (!IsSeed() && IsOutageReported(now)) {
-    next_call_ =
-        now + UpTo(OutageInterval() - options_.longest_follower_backoff);
+    next_call_ = now + UpTo(OutageInterval() - options_.max_follower_backoff);
   }
   if (!reads_store_) {
     peers_.ClearOutages();
@@ -178,7 +177,7 @@
 }
 
 Duration PublishedFeed::OutageInterval() const {
-  return std::max<Duration>(options_.longest_follower_backoff,
+  return std::max<Duration>(options_.max_follower_backoff,
                             options_.outage_call_spacing * reported_hosts_);
 }
 
@@ -187,7 +186,7 @@
 // retries by itself.
 void PublishedFeed::LimitOutageWait(TimePoint now) {
   if (!IsSeed() && !IsOutageReported(now)) {
-    const Duration longest = 2 * options_.longest_follower_backoff;
+    const Duration longest = 2 * options_.max_follower_backoff;
     next_call_ = std::min(next_call_, now + longest);
   }
 }
@@ -266,8 +265,8 @@
     return Jittered(OutageInterval());
   }
   const Duration longest =
-      !IsSeed() ? options_.longest_follower_backoff : options_.longest_backoff;
-  backoff_ = std::clamp(2 * backoff_, options_.shortest_backoff, longest);
+      !IsSeed() ? options_.max_follower_backoff : options_.max_backoff;
+  backoff_ = std::clamp(2 * backoff_, options_.min_backoff, longest);
   return Jittered(backoff_);
 }
 
@@ -366,7 +365,7 @@
   if (peers_.IsFollower(peer) && confirmed_at_ && is_behind) {
     SendUpdate({host}, peer.known_revision, now, out);
   }
-  numbers_.RaiseNumberLimit(hello.host_number.seats);
+  numbers_.RaiseNumberLimit(hello.host_number.number_count);
   if (IsSeed() && !peer.IsSeed()) {
     const HostNumber host_number = numbers_.AssignNumber(
         host, hello.host_number, peers_.MaxFollowersOfOtherSeeds(), now);
--- a/fleet/published_messages.cc
+++ b/fleet/published_messages.cc
@@ -103,7 +103,7 @@
               {"revision", revision},
               {"followers", followers},
               {"seat", host_number.number},
-              {"seats", host_number.seats}};
+              {"seats", host_number.number_count}};
 }
 
 leaf::result<FeedHello> FeedHello::Parse(const Json& json,
@@ -116,7 +116,7 @@
   reader.ReadOptional("followers", hello.followers, 0, kMaxCount);
   reader.ReadOptional("seat", hello.host_number.number, HostNumber::kNone,
                       kMaxCount);
-  reader.ReadOptional("seats", hello.host_number.seats, 0, kMaxCount);
+  reader.ReadOptional("seats", hello.host_number.number_count, 0, kMaxCount);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
   return hello;
 }
@@ -207,7 +207,8 @@
 }
 
 Json FeedNumberAssignment::ToJson() const {
-  return Json{{"seat", host_number.number}, {"seats", host_number.seats}};
+  return Json{{"seat", host_number.number},
+              {"seats", host_number.number_count}};
 }
 
 leaf::result<FeedNumberAssignment> FeedNumberAssignment::Parse(
@@ -216,12 +217,12 @@
   FeedNumberAssignment message;
   JsonReader reader(json, path);
   reader.Read("seat", message.host_number.number, 0, kMaxCount);
-  reader.Read("seats", message.host_number.seats, 1, kMaxCount);
+  reader.Read("seats", message.host_number.number_count, 1, kMaxCount);
   BOOST_LEAF_CHECK(reader.FinishIgnoringUnknown());
-  if (message.host_number.number >= message.host_number.seats) {
+  if (message.host_number.number >= message.host_number.number_count) {
     return Fail(ErrorKind::kOutOfRange, path + ".seat",
                 std::to_string(message.host_number.number) + " of " +
-                    std::to_string(message.host_number.seats),
+                    std::to_string(message.host_number.number_count),
                 "check that the sender is a daemon of this system");
   }
   return message;
--- a/fleet/read_schedule.cc
+++ b/fleet/read_schedule.cc
@@ -38,8 +38,8 @@
 // While the platform is down only readers retry, at increasing and random
 // intervals, so that its return does not cause a burst of reads.
 void ReadSchedule::Failed(TimePoint now) {
-  backoff_ = std::clamp(2 * backoff_, options_.shortest_backoff,
-                        options_.longest_backoff);
+  backoff_ =
+      std::clamp(2 * backoff_, options_.min_backoff, options_.max_backoff);
   due_ = now + (reader_ ? Jittered(backoff_) : SafetyRead());
 }
 
--- a/fleet/read_schedule.h
+++ b/fleet/read_schedule.h
@@ -13,8 +13,8 @@
 struct ReadScheduleOptions {
   // Backoff after failed reads: doubled from the shortest to the longest, with
   // jitter.
-  Duration shortest_backoff = std::chrono::milliseconds(500);
-  Duration longest_backoff = std::chrono::seconds(30);
+  Duration min_backoff = std::chrono::milliseconds(500);
+  Duration max_backoff = std::chrono::seconds(30);
   // Average interval at which a host that is not a reader reads nevertheless;
   // longer in a fleet of more than kSafetyReadHosts hosts.
   Duration safety_read = std::chrono::minutes(5);
--- a/tests/fleet/feed_simulation.h
+++ b/tests/fleet/feed_simulation.h
@@ -168,7 +168,7 @@
   void UseCodec() { uses_codec_ = true; }
   std::uint64_t frames_refused() const { return frames_refused_; }
   // Size in bytes of the largest encoded frame.
-  std::size_t largest_frame() const { return largest_frame_; }
+  std::size_t max_frame_bytes() const { return largest_frame_; }
 
   std::map<std::string, Host>& hosts() { return hosts_; }
   TimePoint now() const { return now_; }
--- a/tests/fleet/test_claim_exchange.cc
+++ b/tests/fleet/test_claim_exchange.cc
@@ -172,7 +172,7 @@
         continue;
       }
       const std::string& key = it.request.key;
-      std::optional<KeptAnswer> answer;
+      std::optional<StoredAnswer> answer;
       if (it.outcome != Outcome::kNotRun) {
         is_violated_ = ++executions_[key] > 1 || is_violated_;
       }
@@ -180,7 +180,7 @@
         maybe_executed_.insert(key);
       }
       if (it.outcome == Outcome::kComplete) {
-        answer = KeptAnswer{200, "text/plain", key};
+        answer = StoredAnswer{200, "text/plain", key};
       }
       Outbox out;
       fleet_.At(it.host).claims().Settle(it.request, it.claim, it.outcome,
--- a/tests/fleet/test_claim_messages.cc
+++ b/tests/fleet/test_claim_messages.cc
@@ -16,7 +16,7 @@
                            9,
                            true,
                            std::chrono::seconds(2),
-                           KeptAnswer{200, "", "\xff body"}};
+                           StoredAnswer{200, "", "\xff body"}};
   const std::vector<PeerMessage> sent{
       replicas,
       TakeoverRequest{3, ballot},
--- a/tests/fleet/test_crash_replay.cc
+++ b/tests/fleet/test_crash_replay.cc
@@ -68,7 +68,7 @@
     HostId host;
     std::size_t endpoint = 0;
     TimePoint ends;
-    bool is_repeat = false;
+    bool is_retry = false;
   };
   struct Endpoint {
     EndpointProcess process;
@@ -102,7 +102,7 @@
     return n;
   }
 
-  void Send(RequestFingerprint request, const HostId& host, bool is_repeat) {
+  void Send(RequestFingerprint request, const HostId& host, bool is_retry) {
     std::vector<std::size_t> free;
     for (std::size_t n = 0; n < endpoints_.size(); ++n) {
       if (endpoints_[n].up_at <= star_.now() && CallsAt(n) < kSlots) {
@@ -115,7 +115,7 @@
     const std::size_t endpoint =
         free[UniformBelow(random_, static_cast<std::uint32_t>(free.size()))];
     const Duration runs = request == kCulprit ? kTimeToCrash : kRunTime;
-    calls_.push_back({request, host, endpoint, star_.now() + runs, is_repeat});
+    calls_.push_back({request, host, endpoint, star_.now() + runs, is_retry});
   }
 
   void BeginCalls() {
@@ -171,7 +171,7 @@
           star_.Judge(it.host, it.request) != Suspicion::kNone;
       star_.BreakConnection(it.host, process, it.request);
       checks_.push_back({it.host, process, star_.now() + kCheckTime});
-      if (!it.is_repeat && !is_suspected) {
+      if (!it.is_retry && !is_suspected) {
         Send(it.request, it.host, true);
       }
     }
--- a/tests/fleet/test_feed_parts.cc
+++ b/tests/fleet/test_feed_parts.cc
@@ -32,7 +32,7 @@
       CHECK(host.feed->view().Endpoints().size() == endpoints);
     }
     CHECK(world.frames_refused() == 0);
-    CHECK(world.largest_frame() < kMaxPartBytes);
+    CHECK(world.max_frame_bytes() < kMaxPartBytes);
   }
 }
 
--- a/tests/fleet/test_host_number_allocator.cc
+++ b/tests/fleet/test_host_number_allocator.cc
@@ -38,7 +38,7 @@
     for (int n = 0; n < 40; ++n) {
       const HostNumber host_number =
           seed.AssignNumber(HostOf(n), HostNumber(), 40, kStart);
-      CHECK(host_number.number < host_number.seats);
+      CHECK(host_number.number < host_number.number_count);
       ++holders[host_number.number];
     }
     ++holders[seed.OwnNumber(kStart).number];
@@ -94,7 +94,7 @@
   const HostNumber host_number = seed.AssignNumber(
       HostOf(1), {kSeeds * 1'000'000'000, 1}, 1'000'000'000, kStart);
   CHECK(host_number.number == kSeeds);
-  CHECK(host_number.seats <= 1 << 14);
+  CHECK(host_number.number_count <= 1 << 14);
 }
 
 // Returns the largest number of quota units of any endpoint that the hosts use
