--- a/contract/protocol_names.h
+++ b/contract/protocol_names.h
@@ -10,7 +10,7 @@
 // Default names of the headers between callers, hosts and endpoints.
 inline constexpr std::string_view kOutcomeHeader = "Damasktack-Outcome";
 inline constexpr std::string_view kCallHeader = "Damasktack-Call";
-// Milliseconds that remain; asked by the caller and passed on.
+// Remaining time in milliseconds; requested by the caller and passed on.
 inline constexpr std::string_view kDeadlineHeader = "Damasktack-Deadline-Ms";
 // Number of load balancer hops so far; 0 or absent on the first.
 inline constexpr std::string_view kDepthHeader = "Damasktack-Depth";
@@ -34,7 +34,7 @@
 struct ProtocolNames {
   // ID of the call, in requests and responses.
   std::string call{kCallHeader};
-  // Milliseconds that remain; asked by the caller and passed on.
+  // Remaining time in milliseconds; requested by the caller and passed on.
   std::string deadline{kDeadlineHeader};
   // Number of hops so far, and number of attempts sent by this hop.
   std::string depth{kDepthHeader};
@@ -76,7 +76,7 @@
   // A response without a length ends when the connection is closed in order; a
   // reset means that it was truncated.
   bool response_may_end_at_close = false;
-  // Retry-After may be a fraction of a second.
+  // Retry-After may contain a fraction of a second.
   bool fractional_retry_after = false;
   // Idle caller connections are closed without a response, because callers know
   // that a request which crosses the close was not read.
--- a/main/admin_client.h
+++ b/main/admin_client.h
@@ -35,7 +35,8 @@
     const CtlInvocation& invocation,
     const std::vector<std::string>& addresses);
 
-// Creates clients for the hosts given by --host; fails if there are none.
+// Creates clients for the hosts given by the option --host; fails if there are
+// none.
 leaf::result<std::vector<AdminClient>> MakeClientsForHosts(
     const CtlInvocation& invocation);
 
--- a/main/call_explainer.cc
+++ b/main/call_explainer.cc
@@ -149,20 +149,20 @@
       last_line_times[it.host] = it.time;
     }
   }
-  std::map<std::string, std::vector<LogLine>> beliefs;
+  std::map<std::string, std::vector<LogLine>> prior_events;
   for (const LogLine& it : lines) {
     const auto last = last_line_times.find(it.host);
     if (it.event != "call-ended" && last != last_line_times.end() &&
         it.time <= last->second && IsRelevant(it, call, endpoints)) {
-      beliefs[it.host].push_back(it);
+      prior_events[it.host].push_back(it);
     }
   }
-  for (auto& [host, list] : beliefs) {
+  for (auto& [host, list] : prior_events) {
     const std::size_t from =
         list.size() - std::min(list.size(), kMaxEventsPerHost);
-    explanation.beliefs.insert(explanation.beliefs.end(),
-                               list.begin() + static_cast<std::ptrdiff_t>(from),
-                               list.end());
+    explanation.prior_events.insert(
+        explanation.prior_events.end(),
+        list.begin() + static_cast<std::ptrdiff_t>(from), list.end());
   }
   return explanation;
 }
--- a/main/call_explainer.h
+++ b/main/call_explainer.h
@@ -29,7 +29,7 @@
   std::vector<std::string> explanations;
   // Events logged before the call by the hosts that handled it, which describe
   // their state: routes, endpoints, store, peers, starts and stops.
-  std::vector<LogLine> beliefs;
+  std::vector<LogLine> prior_events;
 };
 
 // Parses the events of one log; lines without an event are skipped.
--- a/main/compare_command.cc
+++ b/main/compare_command.cc
@@ -167,12 +167,12 @@
 constinit const CtlCommand kCompareCommand{
     .words = "compare",
     .arguments = "IP:PORT IP:PORT...",
-    .summary = "show what differs between hosts",
+    .summary = "show differences between hosts",
     .description =
-        "Lays the hosts' revisions, refused documents, contracts, endpoint "
-        "states and views of each other side by side and prints the facts on "
-        "which they differ. Exit code 0 says that they agree, 1 that they "
-        "differ.",
+        "Compares the hosts' revisions, rejected documents, "
+        "contracts, endpoint states and views of each other, and "
+        "prints the properties that differ. Exit code 0 means that "
+        "they agree, 1 that they differ.",
     .min_arguments = 2,
     .max_arguments = kUnlimitedArguments,
     .hosts = CtlHosts::kByArgument,
--- a/main/contract_command.cc
+++ b/main/contract_command.cc
@@ -98,7 +98,8 @@
 void AddCheckOptions(po::options_description& options) {
   options.add_options()(
       kServicesOption, po::value<std::string>()->value_name("FILE"),
-      "services document in which every service of a contract must be found");
+      "services document that must contain every service used by "
+      "a contract");
 }
 
 leaf::result<CtlExit> RunCheck(const CtlInvocation& invocation) {
@@ -182,11 +183,14 @@
 constinit const CtlCommand kContractCheckCommand{
     .words = "contract check",
     .arguments = "FILE...",
-    .summary = "check contracts, services or hosts before publishing them",
+    .summary =
+        "validate contracts, services or hosts before publishing "
+        "them",
     .description =
-        "Checks each file as the daemons will; the file's member says which "
-        "document it is. A fault is printed with its place, what was found "
-        "and the remedy. Exit code 1 says that a file is not sound.",
+        "Validates each file as the daemons do; the member of the "
+        "file determines which document it is. An error is printed "
+        "with its location, what was found and the remedy. Exit "
+        "code 1 means that a file is invalid.",
     .min_arguments = 1,
     .max_arguments = kUnlimitedArguments,
     .hosts = CtlHosts::kNone,
@@ -198,9 +202,10 @@
     .arguments = "OLD NEW",
     .summary = "show what a change does to each customer",
     .description =
-        "Prints each customer whose contract is added, removed or changed "
-        "with the members that differ, and those that are displaced: whose "
-        "own contract stays but whose part of the sum of all shares does not.",
+        "Prints each customer whose contract is added, removed or "
+        "changed with the fields that differ, and each displaced "
+        "customer, whose contract is unchanged but whose fraction "
+        "of the sum of all shares is not.",
     .min_arguments = 2,
     .max_arguments = 2,
     .hosts = CtlHosts::kNone,
--- a/main/ctl_commands.cc
+++ b/main/ctl_commands.cc
@@ -31,12 +31,12 @@
     kCompletionCommand,    kHelpCommand,
 };
 
-std::size_t WordCount(std::string_view words) {
+std::size_t CountWords(std::string_view words) {
   return words.find(' ') == std::string_view::npos ? 1 : 2;
 }
 
-std::string FirstWords(const std::vector<std::string>& args,
-                       std::size_t count) {
+std::string JoinFirstWords(const std::vector<std::string>& args,
+                           std::size_t count) {
   if (args.size() < count) {
     return "";
   }
@@ -51,7 +51,7 @@
 
 const CtlCommand* FindCtlCommand(const std::vector<std::string>& args) {
   for (const CtlCommand& it : kCommands) {
-    if (FirstWords(args, WordCount(it.words)) == it.words) {
+    if (JoinFirstWords(args, CountWords(it.words)) == it.words) {
       return &it;
     }
   }
@@ -73,7 +73,7 @@
         "file with the administration token; without it the environment "
         "variable DAMASKTACK_TOKEN is used")(
         "timeout", po::value<std::string>()->value_name("TIME"),
-        "longest wait for each host, as in 2s; 5s where not given");
+        "timeout for each host, as in 2s; the default is 5s");
   }
   if (command.add_options != nullptr) {
     command.add_options(options);
--- a/main/daemon.cc
+++ b/main/daemon.cc
@@ -119,9 +119,9 @@
                 ToString(refusal.error));
 }
 
-void Daemon::OnHeardDrain(const DrainObservation& sighting) {
-  if (const auto dispatcher = state_.FindDispatcher(sighting.service)) {
-    dispatcher->OnPeerDrain(sighting.endpoint, Clock::now());
+void Daemon::OnHeardDrain(const DrainObservation& observation) {
+  if (const auto dispatcher = state_.FindDispatcher(observation.service)) {
+    dispatcher->OnPeerDrain(observation.endpoint, Clock::now());
   }
 }
 
--- a/main/damasktack_main.cc
+++ b/main/damasktack_main.cc
@@ -169,15 +169,15 @@
   return damasktack::Try(
       [&]() -> damasktack::leaf::result<int> {
         if (arguments.count("settings") == 0) {
-          return damasktack::Fail(damasktack::ErrorKind::kUsage, "--settings",
-                                  "nothing",
-                                  "name the settings file with --settings "
-                                  "FILE; examples/ holds one to begin with");
+          return damasktack::Fail(
+              damasktack::ErrorKind::kUsage, "--settings", "nothing",
+              "specify the settings file with --settings FILE; examples/ "
+              "contains one");
         }
         const auto path = arguments["settings"].as<std::string>();
         BOOST_LEAF_AUTO(settings, damasktack::LoadSettings(path));
         if (arguments.count("check-settings") > 0) {
-          std::cout << "settings are sound: " << path << "\n";
+          std::cout << "settings are valid: " << path << "\n";
           return kExitOk;
         }
         return settings.store.enabled ? Run<damasktack::StoreDaemon>(
--- a/main/drain_command.cc
+++ b/main/drain_command.cc
@@ -14,7 +14,7 @@
 constexpr auto kUndoOption = "undo";
 
 void AddDrainOptions(po::options_description& options) {
-  options.add_options()(kUndoOption, "give the readiness back");
+  options.add_options()(kUndoOption, "end the drain");
 }
 
 // Sends a request to all hosts and prints the members `keys` of each response.
@@ -59,11 +59,11 @@
 constinit const CtlCommand kDrainCommand{
     .words = "drain",
     .arguments = "",
-    .summary = "take a host's readiness away, or give it back",
+    .summary = "drain a host, or end the drain",
     .description =
-        "The host answers \"not ready\" to the platform's balancer and goes "
-        "on serving what still arrives. Nothing is written anywhere; a host "
-        "that starts anew is not drained.",
+        "The host reports \"not ready\" to the platform's balancer "
+        "and continues to serve calls that still arrive. The drain "
+        "is not persisted; a host that is restarted is not drained.",
     .min_arguments = 0,
     .max_arguments = 0,
     .hosts = CtlHosts::kByOption,
@@ -75,11 +75,11 @@
     .arguments = "HOST-ID",
     .summary = "tell hosts that another host's process has ended for good",
     .description =
-        "Hosts keep counting a host that fell silent, since it may still be "
-        "serving behind a partition; its part of every limit stays unused. "
-        "Say this only when the machine is known to be off. A false word "
-        "lets a customer's limit be passed. Name every running host with "
-        "--host.",
+        "Hosts keep reserving the part of every limit that belongs "
+        "to an unreachable host, since it may still be serving "
+        "behind a partition. Use this command only if the machine "
+        "is known to be off; otherwise a customer's limit can be "
+        "exceeded. Specify every running host with --host.",
     .min_arguments = 1,
     .max_arguments = 1,
     .hosts = CtlHosts::kByOption,
--- a/main/explain_command.cc
+++ b/main/explain_command.cc
@@ -50,7 +50,7 @@
     invocation.out << Json{{"call", call},
                            {"meanings", found.explanations},
                            {"lines", ToJson(found.calls)},
-                           {"beliefs", ToJson(found.beliefs)}}
+                           {"beliefs", ToJson(found.prior_events)}}
                           .dump(2)
                    << "\n";
   } else if (found.calls.empty()) {
@@ -65,7 +65,7 @@
     invocation.out << "\nIts lines:\n";
     Print(found.calls, invocation.out);
     invocation.out << "\nWhat its hosts had come to believe before:\n";
-    Print(found.beliefs, invocation.out);
+    Print(found.prior_events, invocation.out);
   }
   return found.calls.empty() ? CtlExit::kFault : CtlExit::kDone;
 }
@@ -75,13 +75,14 @@
 constinit const CtlCommand kExplainCommand{
     .words = "explain",
     .arguments = "CALL FILE...",
-    .summary = "tell from hosts' logs what became of a call, and why",
+    .summary = "explain the outcome of a call from the logs of hosts",
     .description =
-        "Reads the logs of one or several hosts and prints, in order of time, "
-        "how the call with this id ended on each of them, what the decision "
-        "rested on, and what the host had come to believe before it: routes in "
-        "force, ejections of its endpoint, the store lost or regained, peers, "
-        "starts and stops.",
+        "Reads the logs of one or several hosts and prints in "
+        "chronological order how the call with this ID ended on "
+        "each of them, on which data the decision was based, and "
+        "which state the host had logged before: routes in force, "
+        "ejections of the call's endpoint, loss and recovery of "
+        "the store, peers, starts and stops.",
     .min_arguments = 2,
     .max_arguments = kUnlimitedArguments,
     .hosts = CtlHosts::kNone,
--- a/main/fleet_node.cc
+++ b/main/fleet_node.cc
@@ -116,9 +116,9 @@
   loop_.Post([host](FleetCore& core, TimePoint) { core.ConfirmGone(host); });
 }
 
-void FleetNode::BroadcastDrain(const DrainObservation& sighting) {
-  loop_.Post([sighting](FleetCore& core, TimePoint now) {
-    core.OnDrainObserved(sighting, now);
+void FleetNode::BroadcastDrain(const DrainObservation& observation) {
+  loop_.Post([observation](FleetCore& core, TimePoint now) {
+    core.OnDrainObserved(observation, now);
   });
 }
 
--- a/main/fleet_node.h
+++ b/main/fleet_node.h
@@ -35,7 +35,7 @@
   virtual void OnInForce(const Document& document) = 0;
   virtual void OnRefused(DocumentName name, const DocumentRefusal& refusal) = 0;
   // A peer reports that an endpoint is draining.
-  virtual void OnHeardDrain(const DrainObservation& sighting) = 0;
+  virtual void OnHeardDrain(const DrainObservation& observation) = 0;
 };
 
 // This host's membership in the fleet. Connects the links to peers, the fleet
@@ -46,12 +46,12 @@
   ~FleetNode() override;
 
   leaf::result<void> Start();
-  // Starts the graceful stop: informs the peers, of which others take over
-  // reading the platform.
+  // Informs the peers that this host is stopping, so that another host takes
+  // over reading the platform.
   void Leave();
   // Informs the peers that an endpoint has reported to this host that it is
   // draining.
-  void BroadcastDrain(const DrainObservation& sighting);
+  void BroadcastDrain(const DrainObservation& observation);
   // Records that an operator has verified that the last known process of `host`
   // has ended. This host informs the other hosts.
   void ConfirmGone(const HostId& host);
@@ -74,8 +74,8 @@
 
  private:
   void OnFleetState(std::shared_ptr<const FleetState> state) override;
-  void OnHeardDrain(const DrainObservation& sighting) override {
-    events_.OnHeardDrain(sighting);
+  void OnHeardDrain(const DrainObservation& observation) override {
+    events_.OnHeardDrain(observation);
   }
   void OnDocument(Document document) override;
   void OnQueried(DocumentName name, std::uint64_t check) override;
--- a/main/fleet_settings.cc
+++ b/main/fleet_settings.cc
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr std::size_t kShortestKey = 16;
+constexpr std::size_t kMinKeyLength = 16;
 
-leaf::result<void> FillKey(FleetSettings& fleet) {
+leaf::result<void> LoadKey(FleetSettings& fleet) {
   if (fleet.key.empty() == fleet.key_file.empty()) {
     return Fail(ErrorKind::kMissingKey, "fleet.key",
                 fleet.key.empty() ? "neither key nor key_file"
@@ -18,7 +18,7 @@
   if (!fleet.key_file.empty()) {
     BOOST_LEAF_ASSIGN(fleet.key, ReadTokenFile(fleet.key_file));
   }
-  if (fleet.key.size() < kShortestKey) {
+  if (fleet.key.size() < kMinKeyLength) {
     return Fail(ErrorKind::kOutOfRange, "fleet.key",
                 std::to_string(fleet.key.size()) + " characters",
                 "use at least 16 characters, as from openssl rand -hex 32");
@@ -35,7 +35,7 @@
                 "use at least twice fleet.heartbeat, so that one lost "
                 "heartbeat does not separate two hosts");
   }
-  return FillKey(fleet);
+  return LoadKey(fleet);
 }
 
 }  // namespace damasktack
--- a/main/help_command.cc
+++ b/main/help_command.cc
@@ -118,7 +118,7 @@
 constinit const CtlCommand kHelpCommand{
     .words = "help",
     .arguments = "[COMMAND]",
-    .summary = "show the commands, or one command's options",
+    .summary = "list the commands, or show the options of one command",
     .description = "With --man or --man-daemon: prints a manual page.",
     .min_arguments = 0,
     .max_arguments = 2,
@@ -129,7 +129,7 @@
 constinit const CtlCommand kCompletionCommand{
     .words = "completion",
     .arguments = "bash",
-    .summary = "print completion rules for the shell",
+    .summary = "print rules for shell completion",
     .description = "To use them: source <(damasktackctl completion bash)",
     .min_arguments = 1,
     .max_arguments = 1,
--- a/main/histogram_command.cc
+++ b/main/histogram_command.cc
@@ -27,10 +27,11 @@
 using HistogramsByName = std::map<SeriesName, TimeHistogram>;
 
 void AddHistogramOptions(po::options_description& options) {
-  options.add_options()(kAddedOption,
-                        "the time that damasktack added, instead of all of it")(
-      kCustomerOption, po::value<std::string>()->value_name("NAME"),
-      "only this customer");
+  options.add_options()(
+      kAddedOption,
+      "show the time added by damasktack instead of the total "
+      "time")(kCustomerOption, po::value<std::string>()->value_name("NAME"),
+              "only this customer");
 }
 
 HistogramsByName Sum(const HostAnswers& answers,
@@ -87,12 +88,13 @@
 constinit const CtlCommand kHistogramCommand{
     .words = "histogram",
     .arguments = "",
-    .summary = "draw call times by customer and class",
+    .summary = "draw histograms of call durations by customer and class",
     .description =
-        "Adds up the hosts' histograms since their starts and draws one for "
-        "each customer and class, five lines a decade, each with the lower "
-        "end of its times and its count. Quantiles are the upper ends of "
-        "their bins, at most 12 percent too high.",
+        "Sums the hosts' histograms since their starts and draws "
+        "one for each customer and class with five lines per "
+        "decade, each with the lower end of its range and its "
+        "count. Quantiles are the upper ends of their bins, at "
+        "most 12 percent too high.",
     .min_arguments = 0,
     .max_arguments = 0,
     .hosts = CtlHosts::kByOption,
--- a/main/inspect_command.cc
+++ b/main/inspect_command.cc
@@ -208,43 +208,45 @@
 
 constinit const CtlCommand kContractsCommand =
     Inspection("contracts",
-               "show the contracts in force and what was refused",
-               "The documents with the revision in force and, where a later "
-               "one was refused, where its fault lies and the remedy; then "
-               "the contracts in force. Keys are counted, never shown.",
+               "show the contracts in force and rejected documents",
+               "The documents with the revision in force and, if a later "
+               "one was rejected, the location of its error and the "
+               "remedy; then the contracts in force. Keys are counted, "
+               "never shown.",
                RunContracts);
 
 constinit const CtlCommand kEndpointsCommand =
     Inspection("endpoints",
                "show how each host sees the endpoints",
-               "One line for each endpoint: its state and why, this host's "
-               "calls there, the estimate of all hosts' calls there, and the "
-               "age of the last report.",
+               "One line for each endpoint: its state and the reason, "
+               "this host's calls in flight, the estimated calls in "
+               "flight of all hosts, and the age of the last load report.",
                RunEndpoints);
 
 constinit const CtlCommand kCustomersCommand =
     Inspection("customers",
-               "show what each customer got and its part of the limits",
-               "One line for each customer: calls by what their callers were "
-               "told, and this host's part "
-               "of the rate limit in thousandths of a call a second: owned, "
-               "lent to other hosts and borrowed from them.",
+               "show the outcomes of each customer's calls and its part "
+               "of the limits",
+               "One line for each customer: calls by the outcome reported "
+               "to callers, and this host's part of the rate limit in "
+               "thousandths of a call per second: owned, lent to other "
+               "hosts and borrowed from them.",
                RunCustomers);
 
 constinit const CtlCommand kPeersCommand =
     Inspection("peers",
                "show the other hosts as each host sees them",
-               "One line for each other host: what the platform's list says "
-               "of it and whether its heartbeats arrive. Two hosts may see "
-               "the fleet differently; the comparison is what this is for.",
+               "One line for each other host: its state in the platform's "
+               "list and whether its heartbeats arrive. Hosts may see the "
+               "fleet differently, which this command shows.",
                RunPeers);
 
 constinit const CtlCommand kProbesCommand =
     Inspection("probes",
-               "show what measuring costs against its budget",
-               "One line for each service: probes allowed a second on this "
-               "host, probes sent, their bytes, and probes that would have "
-               "been of use but were not allowed.",
+               "show the cost of probes and their budget",
+               "One line for each service: probes allowed per second on "
+               "this host, probes sent, their bytes, and useful probes "
+               "that were withheld because of the budget.",
                RunProbes);
 
 }  // namespace damasktack
--- a/main/load_command.cc
+++ b/main/load_command.cc
@@ -36,9 +36,9 @@
 void AddLoadOptions(po::options_description& options) {
   options.add_options()(kPlanOption,
                         po::value<std::string>()->value_name("FILE"),
-                        "classes and entries as JSON with comments")(
+                        "file with classes and entries as JSON with comments")(
       kDurationOption, po::value<std::string>()->value_name("TIME"),
-      "instead of the plan's, as in 10s");
+      "duration that replaces that of the plan, as in 10s");
 }
 
 leaf::result<CtlExit> RunLoad(const CtlInvocation& invocation) {
@@ -58,11 +58,14 @@
 constinit const CtlCommand kLoadCommand{
     .words = "load",
     .arguments = "",
-    .summary = "send a plan's calls and print what each class got",
+    .summary =
+        "send the calls of a load plan and print the results of "
+        "each class",
     .description =
-        "A bounded load generator for the demo and for experiments. Calls "
-        "start at their planned times whether or not earlier ones have been "
-        "answered, and latency counts from the planned time.",
+        "A load generator for demos and experiments. Calls start "
+        "at their planned times whether or not earlier ones have "
+        "been answered, and latency is measured from the planned "
+        "time.",
     .min_arguments = 0,
     .max_arguments = 0,
     .hosts = CtlHosts::kNone,
--- a/main/load_plan.cc
+++ b/main/load_plan.cc
@@ -4,18 +4,18 @@
 
 namespace {
 
-constexpr double kLowestRate = 0.001;
-constexpr double kHighestRate = 100'000;
-constexpr Duration kLongest = std::chrono::hours(1);
-constexpr std::int64_t kMostRepeats = 100;
-constexpr std::int64_t kMostInFlight = 20'000;
-constexpr std::int64_t kLargestSeed = 1'000'000'000;
+constexpr double kMinRate = 0.001;
+constexpr double kMaxRate = 100'000;
+constexpr Duration kMaxDuration = std::chrono::hours(1);
+constexpr std::int64_t kMaxRepeats = 100;
+constexpr std::int64_t kMaxInFlight = 20'000;
+constexpr std::int64_t kMaxSeed = 1'000'000'000;
 
 void ReadTime(JsonReader& reader,
               std::string_view key,
               std::optional<Duration>& out) {
   if (reader.Has(key)) {
-    reader.Read(key, out.emplace(), Duration::zero(), kLongest);
+    reader.Read(key, out.emplace(), Duration::zero(), kMaxDuration);
   }
 }
 
@@ -26,12 +26,12 @@
   reader.Read("key", it.key);
   reader.ReadOptional("method", it.method);
   reader.Read("path", it.path);
-  reader.Read("rate", it.rate, kLowestRate, kHighestRate);
-  reader.ReadOptional("start", it.start, Duration::zero(), kLongest);
+  reader.Read("rate", it.rate, kMinRate, kMaxRate);
+  reader.ReadOptional("start", it.start, Duration::zero(), kMaxDuration);
   ReadTime(reader, "duration", it.duration);
   ReadTime(reader, "deadline", it.deadline);
   reader.ReadOptional("idempotency_keys", it.idempotency_keys);
-  reader.ReadOptional("repeats", it.repeats, 0, kMostRepeats);
+  reader.ReadOptional("repeats", it.repeats, 0, kMaxRepeats);
   reader.ReadOptional("doubled_percent", it.doubled_percent, 0, 100);
   reader.ReadOptional("expect_path", it.expect_path);
   BOOST_LEAF_CHECK(reader.Finish());
@@ -61,7 +61,7 @@
   }
   if (items.empty()) {
     return Fail(ErrorKind::kOutOfRange, path, "an empty list",
-                "name at least one");
+                "list at least one");
   }
   return items;
 }
@@ -75,11 +75,12 @@
   JsonReader reader(json, "");
   const Json* classes = reader.Array("classes");
   const Json* entries = reader.Array("entries");
-  reader.ReadOptional("duration", plan.duration, Duration::zero(), kLongest);
+  reader.ReadOptional("duration", plan.duration, Duration::zero(),
+                      kMaxDuration);
   reader.ReadOptional("answer_timeout", plan.answer_timeout, Duration::zero(),
-                      kLongest);
-  reader.ReadOptional("in_flight", plan.in_flight, 1, kMostInFlight);
-  reader.ReadOptional("seed", plan.seed, 0, kLargestSeed);
+                      kMaxDuration);
+  reader.ReadOptional("in_flight", plan.in_flight, 1, kMaxInFlight);
+  reader.ReadOptional("seed", plan.seed, 0, kMaxSeed);
   BOOST_LEAF_CHECK(reader.Finish());
   BOOST_LEAF_ASSIGN(plan.classes,
                     ParseItems<LoadClass>(*classes, "classes", ParseClass));
--- a/main/load_report.cc
+++ b/main/load_report.cc
@@ -11,8 +11,8 @@
 
 // Bins are 2.3 percent wide, from 1 us to 100 s.
 constexpr unsigned kBins = 800;
-constexpr double kShortest = 1e-6;
-constexpr double kLongest = 1e2;
+constexpr double kMinSeconds = 1e-6;
+constexpr double kMaxSeconds = 1e2;
 
 using TimeAxis = bh::axis::regular<double, bh::axis::transform::log>;
 using TimeHistogram = decltype(bh::make_histogram(std::declval<TimeAxis>()));
@@ -28,9 +28,9 @@
 
 struct ClassTimes {
   TimeHistogram total =
-      bh::make_histogram(TimeAxis(kBins, kShortest, kLongest));
+      bh::make_histogram(TimeAxis(kBins, kMinSeconds, kMaxSeconds));
   TimeHistogram added =
-      bh::make_histogram(TimeAxis(kBins, kShortest, kLongest));
+      bh::make_histogram(TimeAxis(kBins, kMinSeconds, kMaxSeconds));
 };
 
 Duration QuantileOf(const TimeHistogram& histogram, double count, double q) {
@@ -39,10 +39,10 @@
   for (int n = -1; n < axis.size(); ++n) {
     cumulative += histogram.at(n);
     if (cumulative >= count * q) {
-      return FromSeconds(n < 0 ? kShortest : axis.bin(n).upper());
+      return FromSeconds(n < 0 ? kMinSeconds : axis.bin(n).upper());
     }
   }
-  return FromSeconds(kLongest);
+  return FromSeconds(kMaxSeconds);
 }
 
 LoadQuantiles QuantilesOf(const TimeHistogram& histogram) {
@@ -87,7 +87,7 @@
     times[it.load_class].total(Seconds(it.latency));
     if (it.at_endpoint) {
       times[it.load_class].added(
-          std::max(Seconds(it.latency - *it.at_endpoint), kShortest));
+          std::max(Seconds(it.latency - *it.at_endpoint), kMinSeconds));
     }
   }
   for (std::size_t n = 0; n < reports.size(); ++n) {
--- a/main/manual_page.cc
+++ b/main/manual_page.cc
@@ -16,7 +16,7 @@
 
 // Escapes text for troff, which may break a hyphen or replace it by a dash and
 // interprets a line that starts with a dot as a request.
-std::string Escaped(std::string_view text) {
+std::string Escape(std::string_view text) {
   std::string escaped;
   for (const char it : text) {
     if (it == '\\') {
@@ -36,28 +36,28 @@
                std::string_view summary) {
   out << ".TH " << name << " " << section << " \"\" \"damasktack " << kVersion
       << "\"\n.SH NAME\n"
-      << name << " \\- " << Escaped(summary) << "\n";
+      << name << " \\- " << Escape(summary) << "\n";
 }
 
 void PrintOptions(const po::options_description& options, std::ostream& out) {
   for (const auto& it : options.options()) {
-    out << ".TP\n.B " << Escaped("--" + it->long_name());
+    out << ".TP\n.B " << Escape("--" + it->long_name());
     const std::string value = it->format_parameter();
     if (!value.empty()) {
       out << " " << value;
     }
-    out << "\n" << Escaped(it->description()) << "\n";
+    out << "\n" << Escape(it->description()) << "\n";
   }
 }
 
 void PrintCommand(const CtlCommand& command, std::ostream& out) {
-  out << ".SS \"" << Escaped(UsageLine(command)) << "\"\n"
-      << Escaped(command.description) << "\n";
+  out << ".SS \"" << Escape(UsageLine(command)) << "\"\n"
+      << Escape(command.description) << "\n";
   PrintOptions(OptionsOf(command), out);
 }
 
 void PrintExit(std::ostream& out, int code, std::string_view meaning) {
-  out << ".TP\n.B " << code << "\n" << Escaped(meaning) << "\n";
+  out << ".TP\n.B " << code << "\n" << Escape(meaning) << "\n";
 }
 
 }  // namespace
@@ -70,39 +70,39 @@
     PrintCommand(it, out);
   }
   out << ".SH ENVIRONMENT\n.TP\n.B DAMASKTACK_TOKEN\n"
-      << Escaped("administration token, where --token-file is not given")
+      << Escape("administration token, used if --token-file is not given")
       << "\n.SH \"EXIT STATUS\"\n";
-  PrintExit(out, static_cast<int>(CtlExit::kDone), "done, or sound");
+  PrintExit(out, static_cast<int>(CtlExit::kDone), "success, or valid");
   PrintExit(out, static_cast<int>(CtlExit::kFault),
-            "a file is not sound, or hosts differ");
+            "a file is invalid, or hosts differ");
   PrintExit(out, static_cast<int>(CtlExit::kUsage), "wrong usage");
   PrintExit(out, static_cast<int>(CtlExit::kHost),
-            "a host could not be asked, or refused");
+            "a host could not be reached, or it rejected the request");
   out << ".SH \"SEE ALSO\"\n.BR damasktack (8)\n";
 }
 
 void PrintDaemonManual(std::ostream& out) {
-  PrintHead(out, "damasktack", 8, "load balancer of one entry host");
+  PrintHead(out, "damasktack", 8, "load balancer daemon of one host");
   out << ".SH SYNOPSIS\n.B damasktack\n"
-      << Escaped("--settings") << " FILE\n.SH DESCRIPTION\n"
-      << Escaped(
-             "Serves callers under their contracts until SIGTERM or SIGINT, "
-             "which begin a graceful stop: readiness goes off, the daemon "
-             "serves on through stop.lag, finishes every call in flight and "
-             "exits.")
+      << Escape("--settings") << " FILE\n.SH DESCRIPTION\n"
+      << Escape(
+             "Serves callers under their contracts until SIGTERM or "
+             "SIGINT, which start a graceful stop: the daemon reports "
+             "that it is not ready, continues to serve for stop.lag, "
+             "finishes every call in flight and exits.")
       << "\n.SH OPTIONS\n";
   PrintOptions(DaemonOptions(), out);
   out << ".SH SETTINGS\n";
   for (const SettingDescription& it : DescribeSettings()) {
-    out << ".TP\n.B " << Escaped(it.key) << "\n"
-        << Escaped(it.meaning) << "; " << Escaped(it.unit) << ", default "
-        << Escaped(it.default_value) << ", range " << Escaped(it.range) << "\n";
+    out << ".TP\n.B " << Escape(it.key) << "\n"
+        << Escape(it.meaning) << "; " << Escape(it.unit) << ", default "
+        << Escape(it.default_value) << ", range " << Escape(it.range) << "\n";
   }
   out << ".SH \"EXIT STATUS\"\n";
   PrintExit(out, static_cast<int>(DaemonExit::kDone), "stopped gracefully");
   PrintExit(out, static_cast<int>(DaemonExit::kFailed), "could not start");
   PrintExit(out, static_cast<int>(DaemonExit::kBadSettings),
-            "the command line or the settings are not sound");
+            "the command line or the settings are invalid");
   out << ".SH \"SEE ALSO\"\n.BR damasktackctl (1)\n";
 }
 
--- a/main/settings_command.cc
+++ b/main/settings_command.cc
@@ -55,8 +55,9 @@
     .arguments = "FILE",
     .summary = "check a daemon's settings file",
     .description =
-        "Checks the whole file as the daemon does when it starts. A fault is "
-        "printed with its key, what was found and the remedy.",
+        "Validates the whole file as the daemon does at its start. "
+        "An error is printed with its key, what was found and the "
+        "remedy.",
     .min_arguments = 1,
     .max_arguments = 1,
     .hosts = CtlHosts::kNone,
--- a/main/settings_describer.cc
+++ b/main/settings_describer.cc
@@ -10,17 +10,17 @@
 constexpr auto kRequired = "required";
 constexpr auto kNone = "none";
 
-std::string NumberText(double number) {
+std::string FormatNumber(double number) {
   std::array<char, 32> buf{};
   std::snprintf(buf.data(), buf.size(), "%g", number);
   return buf.data();
 }
 
-std::string Span(const std::string& low, const std::string& high) {
+std::string FormatRange(const std::string& low, const std::string& high) {
   return low + " to " + high;
 }
 
-std::string DefaultText(SettingNeed need, const std::string& value) {
+std::string FormatDefault(SettingNeed need, const std::string& value) {
   if (need == SettingNeed::kRequired) {
     return kRequired;
   }
@@ -49,7 +49,7 @@
                              const std::string& value,
                              std::string_view meaning) {
   descriptions_.push_back({PathOf(key), "text",
-                           DefaultText(SettingNeed::kOptional, value),
+                           FormatDefault(SettingNeed::kOptional, value),
                            "not empty", std::string(meaning)});
 }
 
@@ -66,7 +66,7 @@
                                 std::string_view meaning) {
   const std::string text = value.ip.empty() ? "" : ToString(value);
   descriptions_.push_back({PathOf(key), "IP number and port",
-                           DefaultText(need, text), "port 0 to 65535",
+                           FormatDefault(need, text), "port 0 to 65535",
                            std::string(meaning)});
 }
 
@@ -75,9 +75,10 @@
                              Duration low,
                              Duration high,
                              std::string_view meaning) {
-  descriptions_.push_back({PathOf(key), "time with unit", FormatDuration(value),
-                           Span(FormatDuration(low), FormatDuration(high)),
-                           std::string(meaning)});
+  descriptions_.push_back(
+      {PathOf(key), "time with unit", FormatDuration(value),
+       FormatRange(FormatDuration(low), FormatDuration(high)),
+       std::string(meaning)});
 }
 
 void SettingsDescriber::Count(std::string_view key,
@@ -88,7 +89,8 @@
                               std::string_view meaning) {
   descriptions_.push_back(
       {PathOf(key), std::string(unit), std::to_string(value),
-       Span(std::to_string(low), std::to_string(high)), std::string(meaning)});
+       FormatRange(std::to_string(low), std::to_string(high)),
+       std::string(meaning)});
 }
 
 void SettingsDescriber::Number(std::string_view key,
@@ -97,8 +99,8 @@
                                double high,
                                std::string_view unit,
                                std::string_view meaning) {
-  descriptions_.push_back({PathOf(key), std::string(unit), NumberText(value),
-                           Span(NumberText(low), NumberText(high)),
+  descriptions_.push_back({PathOf(key), std::string(unit), FormatNumber(value),
+                           FormatRange(FormatNumber(low), FormatNumber(high)),
                            std::string(meaning)});
 }
 
--- a/main/text_table.h
+++ b/main/text_table.h
@@ -19,7 +19,7 @@
   bool empty() const { return rows_.size() == 1; }
 
  private:
-  // The titles are the first row.
+  // Rows; the first one holds the titles.
   std::vector<std::vector<std::string>> rows_;
 };
 
--- a/tests/main/test_call_explainer.cc
+++ b/tests/main/test_call_explainer.cc
@@ -60,7 +60,7 @@
 TEST_CASE("only relevant events from before the call are shown") {
   const CallExplanation found = ExplainCall("c-1", ReadBothLogs());
   std::string events;
-  for (const LogLine& it : found.beliefs) {
+  for (const LogLine& it : found.prior_events) {
     events += it.event + " " + it.Value("endpoint") + ";";
   }
   CHECK(events == "started ;store-lost ;endpoint-state e1;cold-send e1;");
--- a/tests/main/test_fleet_gates.cc
+++ b/tests/main/test_fleet_gates.cc
@@ -18,7 +18,7 @@
   void OnInForce(const Document& /*document*/) override {}
   void OnRefused(DocumentName /*name*/,
                  const DocumentRefusal& /*refusal*/) override {}
-  void OnHeardDrain(const DrainObservation& /*sighting*/) override {}
+  void OnHeardDrain(const DrainObservation& /*observation*/) override {}
 };
 
 ClaimOptions WithoutQuarantine() {
