--- a/tests/soak/cold_callers.cc
+++ b/tests/soak/cold_callers.cc
@@ -14,7 +14,7 @@
 
 constexpr std::chrono::milliseconds kDeadline(1200);
 
-// One call on one connection, which closes after `stays_for`.
+// Sends one call on its own connection, which is closed after `close_after`.
 class OneCall : public std::enable_shared_from_this<OneCall> {
  public:
   OneCall(boost::asio::io_context& context, std::atomic<int>* served)
@@ -22,12 +22,12 @@
 
   void Start(const SocketAddress& host,
              const std::string& name,
-             Duration stays_for) {
+             Duration close_after) {
     request_ = {http::verb::get, "/cold/" + name, 11};
     request_.set(http::field::host, "soak.example");
     request_.set("X-Damasktack-Request-Id", name);
     request_.set("X-Damasktack-Deadline-Ms", std::to_string(kDeadline.count()));
-    timer_.expires_after(stays_for);
+    timer_.expires_after(close_after);
     timer_.async_wait([self = shared_from_this()](boost::system::error_code) {
       boost::system::error_code ec;
       self->socket_.close(ec);
@@ -66,7 +66,7 @@
   boost::beast::flat_buffer buf_;
   http::request<http::empty_body> request_;
   http::response<http::string_body> answer_;
-  // Null where nobody waits for the answer.
+  // Null if the caller disconnects early, so that its response isn't counted.
   std::atomic<int>* served_;
 };
 
@@ -106,7 +106,8 @@
 }
 
 void ColdCallers::Call() {
-  const bool leaves = std::bernoulli_distribution(plan_.leaving_part)(random_);
+  const bool leaves =
+      std::bernoulli_distribution(plan_.leaving_fraction)(random_);
   stayed_ += leaves ? 0 : 1;
   const std::string name =
       "x" + std::to_string(plan_.seed) + "-" + std::to_string(++calls_);
--- a/tests/soak/cold_callers.h
+++ b/tests/soak/cold_callers.h
@@ -17,22 +17,24 @@
 struct ColdCallersPlan {
   std::uint64_t seed = 1;
   double calls_per_second = 20;
-  // The part of the callers that leaves, and how long after asking.
-  double leaving_part = 0.5;
+  // Fraction of the callers that disconnect early, and after what time.
+  double leaving_fraction = 0.5;
   Duration leave_after = std::chrono::milliseconds(80);
 };
 
-// Callers of the service whose endpoints become cold. They come at random, each
-// on a connection of its own to any of the hosts; some leave early.
+// Sends calls to the service whose endpoints become cold. The calls arrive as a
+// Poisson process, each on its own connection to a random host; some callers
+// disconnect before they have a response.
 class ColdCallers {
  public:
   ColdCallers(std::vector<SocketAddress> hosts, const ColdCallersPlan& plan);
   ~ColdCallers();
 
-  // Callers that stayed, and those of them that got 200.
+  // Number of callers that did not disconnect early, and how many of these got
+  // status 200.
   int stayed() const { return stayed_; }
   int served() const { return served_; }
-  // All connections, calls and the waits between them come to an end.
+  // Aborts all open calls and sends no more.
   void Stop();
 
  private:
--- a/tests/soak/cold_flood_run.h
+++ b/tests/soak/cold_flood_run.h
@@ -16,45 +16,46 @@
   std::uint64_t seed = 1;
   SoakSize size;
   double calls_per_second = 100;
-  double leaving_part = 0.5;
-  // The part of the hosts that is stopped and goes on, again and again.
-  double pausing_part = 0.33;
-  // How often all endpoints become cold.
-  int returns = 3;
+  double leaving_fraction = 0.5;
+  // Fraction of the hosts that are suspended and resumed repeatedly.
+  double pausing_fraction = 0.33;
+  // Number of times that all endpoints become cold.
+  int cold_phases = 3;
 };
 
 struct ColdFloodOutcome {
-  // Of each endpoint, the most requests within a second while it was cold.
-  std::vector<std::size_t> worst_seconds;
+  // For each endpoint, the largest number of requests that arrived within one
+  // second while it was cold.
+  std::vector<std::size_t> peak_rates;
   int stayed = 0;
   int served = 0;
 };
 
-// Has all endpoints of a service become cold together, time and again, while
-// callers come and leave and hosts are stopped for a while.
+// Runs a fleet in which all endpoints of a service become cold together several
+// times, while callers disconnect early and hosts are suspended for a while.
 class ColdFloodRun {
  public:
   explicit ColdFloodRun(const ColdFloodPlan& plan);
 
-  ColdFloodOutcome Play();
+  ColdFloodOutcome Execute();
 
  private:
   struct Pause {
     int host = 0;
-    // The host is stopped or goes on then.
+    // Time at which the host is suspended or resumed next.
     TimePoint next;
     bool is_stopped = false;
   };
 
-  void TurnPauses(TimePoint now);
-  void Pass(Duration time);
-  Duration DrawUpTo(Duration longest);
+  void UpdatePauses(TimePoint now);
+  void RunFor(Duration time);
+  Duration RandomDuration(Duration max_duration);
 
   const ColdFloodPlan plan_;
   std::mt19937_64 random_;
   SoakLedger ledger_;
   SoakFleet fleet_;
-  ColdReturns returns_;
+  ColdReturns cold_phases_;
   std::vector<Pause> pauses_;
 };
 
--- a/tests/soak/cold_returns.h
+++ b/tests/soak/cold_returns.h
@@ -10,29 +10,31 @@
 
 namespace damasktack {
 
-// Has endpoints of a fleet become cold, and the list say so some time later.
+// Makes endpoints of a fleet cold, and publishes this in the endpoint list
+// after a random delay.
 class ColdReturns {
  public:
   ColdReturns(SoakFleet& fleet, std::uint64_t seed)
       : fleet_(fleet), random_(seed) {}
 
-  // Each endpoint with this probability.
+  // Makes each endpoint cold with probability `part`.
   void Begin(double part, TimePoint now);
-  // Tells the list what is due.
+  // Publishes the cold states whose delay has passed.
   void Tick(TimePoint now);
-  // The most requests that each got within a second while it was cold; too many
-  // are a violation.
-  std::vector<std::size_t> WorstSeconds(SoakLedger& ledger) const;
+  // Returns for each endpoint the largest number of requests that arrived
+  // within one second while it was cold. Records a violation where this exceeds
+  // the limit.
+  std::vector<std::size_t> CheckPeakRates(SoakLedger& ledger) const;
 
  private:
-  struct Telling {
+  struct PendingReport {
     int endpoint = 0;
     TimePoint due;
   };
 
   SoakFleet& fleet_;
   std::mt19937_64 random_;
-  std::vector<Telling> tellings_;
+  std::vector<PendingReport> pending_reports_;
 };
 
 }  // namespace damasktack
--- a/tests/soak/fault_proxy.cc
+++ b/tests/soak/fault_proxy.cc
@@ -12,12 +12,13 @@
 
 namespace {
 
-constexpr Duration kPoll = std::chrono::milliseconds(5);
-// The ends' keep-alive: a second idle, and a probe a second later.
-constexpr Duration kLostIsFound = std::chrono::milliseconds(2200);
+constexpr Duration kPollInterval = std::chrono::milliseconds(5);
+// Time until TCP keep-alive of the two ends detects a lost connection: 1 s idle
+// and one probe 1 s later.
+constexpr Duration kLostConnectionTimeout = std::chrono::milliseconds(2200);
 
-struct Pair {
-  explicit Pair(const asio::any_io_executor& executor)
+struct ConnectionPair {
+  explicit ConnectionPair(const asio::any_io_executor& executor)
       : client(executor), server(executor) {}
 
   void Reset() {
@@ -30,7 +31,8 @@
 
   Tcp::socket client;
   Tcp::socket server;
-  // The path has lost this connection: nothing arrives any more.
+  // The simulated network has lost this connection: no more bytes are
+  // forwarded.
   bool is_lost = false;
 };
 
@@ -54,10 +56,10 @@
   void SetFault(LinkFault fault, Duration delay) {
     const bool was_cut = fault_ == LinkFault::kCutToServer ||
                          fault_ == LinkFault::kCutToClient ||
-                         fault_ == LinkFault::kSilent;
+                         fault_ == LinkFault::kCutBoth;
     for (const auto& it : pairs_) {
       if (was_cut && std::bernoulli_distribution(0.5)(random_)) {
-        Lose(it);
+        MarkLost(it);
       }
       if (fault == LinkFault::kReset) {
         it->Reset();
@@ -68,15 +70,15 @@
   }
 
  private:
-  // A real path acknowledges nothing on a connection that it has lost, so that
-  // the kernels of both ends find out; here the proxy's kernel acknowledges for
-  // it, and ends the connection when theirs would.
-  void Lose(const std::shared_ptr<Pair>& pair) {
+  // On a real network a lost connection gets no acknowledgements, so the
+  // kernels of both ends detect the loss. Here the proxy's kernel acknowledges
+  // the packets, so the proxy resets the connection when those kernels would.
+  void MarkLost(const std::shared_ptr<ConnectionPair>& pair) {
     pair->is_lost = true;
     asio::co_spawn(
         acceptor_.get_executor(),
         [self = shared_from_this(), pair]() -> asio::awaitable<void> {
-          co_await self->Sleep(kLostIsFound);
+          co_await self->Sleep(kLostConnectionTimeout);
           pair->Reset();
         },
         asio::detached);
@@ -84,7 +86,7 @@
 
   asio::awaitable<void> Accept() {
     while (true) {
-      auto pair = std::make_shared<Pair>(acceptor_.get_executor());
+      auto pair = std::make_shared<ConnectionPair>(acceptor_.get_executor());
       boost::system::error_code ec;
       co_await acceptor_.async_accept(
           pair->client, asio::redirect_error(asio::use_awaitable, ec));
@@ -102,7 +104,7 @@
     }
   }
 
-  asio::awaitable<void> Serve(std::shared_ptr<Pair> pair) {
+  asio::awaitable<void> Serve(std::shared_ptr<ConnectionPair> pair) {
     boost::system::error_code ec;
     co_await pair->server.async_connect(
         server_, asio::redirect_error(asio::use_awaitable, ec));
@@ -123,8 +125,8 @@
     co_await Pump(pair, pair->server, pair->client, LinkFault::kCutToClient);
   }
 
-  bool Holds(const Pair& pair, LinkFault direction) const {
-    return pair.is_lost || fault_ == direction || fault_ == LinkFault::kSilent;
+  bool IsBlocked(const ConnectionPair& pair, LinkFault direction) const {
+    return pair.is_lost || fault_ == direction || fault_ == LinkFault::kCutBoth;
   }
 
   asio::awaitable<void> Sleep(Duration time) {
@@ -133,7 +135,7 @@
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
   }
 
-  asio::awaitable<void> Pump(std::shared_ptr<Pair> pair,
+  asio::awaitable<void> Pump(std::shared_ptr<ConnectionPair> pair,
                              Tcp::socket& from,
                              Tcp::socket& to,
                              LinkFault direction) {
@@ -143,14 +145,14 @@
       const std::size_t n = co_await from.async_read_some(
           asio::buffer(buf), asio::redirect_error(asio::use_awaitable, ec));
       const bool ended = static_cast<bool>(ec);
-      while (Holds(*pair, direction) && to.is_open()) {
-        co_await Sleep(kPoll);
+      while (IsBlocked(*pair, direction) && to.is_open()) {
+        co_await Sleep(kPollInterval);
       }
       if (fault_ == LinkFault::kDelay) {
         co_await Sleep(delay_);
       }
       if (ended) {
-        // The end of one direction is passed on behind its bytes.
+        // Forward the end of this direction after its bytes.
         boost::system::error_code ignored;
         to.shutdown(Tcp::socket::shutdown_send, ignored);
         break;
@@ -169,7 +171,7 @@
   std::mt19937 random_;
   LinkFault fault_ = LinkFault::kNone;
   Duration delay_{};
-  std::set<std::shared_ptr<Pair>> pairs_;
+  std::set<std::shared_ptr<ConnectionPair>> pairs_;
 };
 
 FaultProxies::FaultProxies()
--- a/tests/soak/fault_proxy.h
+++ b/tests/soak/fault_proxy.h
@@ -15,19 +15,20 @@
 
 enum class LinkFault : std::uint8_t {
   kNone,
-  // Bytes arrive later, in both directions.
+  // Delays the bytes of both directions.
   kDelay,
-  // Open connections are reset, and new ones as soon as they are made.
+  // Resets open connections, and new ones as soon as they are accepted.
   kReset,
-  // Bytes of one direction are held; after the fault half of the connections
-  // go on, the others were lost and stay silent until the ends notice.
+  // Block the bytes of one direction, or of both. When the fault ends, half of
+  // the connections resume; the others count as lost and carry nothing until
+  // both ends detect it.
   kCutToServer,
   kCutToClient,
-  kSilent,
+  kCutBoth,
 };
 
-// Stands on a loopback port before a server and does to the bytes what its
-// fault says. All proxies share one thread.
+// TCP proxies on loopback ports, each in front of one server, that apply the
+// fault set for them to the forwarded bytes. All proxies share one thread.
 class FaultProxies {
  public:
   class Link;
@@ -35,9 +36,9 @@
   FaultProxies();
   ~FaultProxies();
 
-  // The port of 127.0.0.1 on which a new link to the server listens.
+  // Adds a proxy for the server and returns its listening port on 127.0.0.1.
   std::uint16_t Add(const SocketAddress& server);
-  // Of the link that listens on this port.
+  // Sets the fault of the proxy that listens on this port.
   void SetFault(std::uint16_t port, LinkFault fault, Duration delay);
 
  private:
--- a/tests/soak/slot_endpoint.cc
+++ b/tests/soak/slot_endpoint.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr std::size_t kQueue = 8;
-constexpr Duration kWork = std::chrono::milliseconds(220);
+constexpr std::size_t kQueueCapacity = 8;
+constexpr Duration kWorkTime = std::chrono::milliseconds(220);
 constexpr int kColdFactor = 2;
 
 }  // namespace
@@ -43,14 +43,14 @@
   arrivals_.clear();
 }
 
-Duration SlotEndpoint::ColdLeft(TimePoint now) const {
+Duration SlotEndpoint::RemainingColdTime(TimePoint now) const {
   const std::lock_guard lock(mutex_);
   return std::max<Duration>(cold_until_ - now, Duration::zero());
 }
 
-std::size_t SlotEndpoint::worst_cold_second() const {
+std::size_t SlotEndpoint::peak_cold_rate() const {
   const std::lock_guard lock(mutex_);
-  return worst_;
+  return peak_;
 }
 
 void SlotEndpoint::CountArrival(TimePoint now) {
@@ -62,24 +62,24 @@
   while (now - arrivals_.front() >= std::chrono::seconds(1)) {
     arrivals_.pop_front();
   }
-  worst_ = std::max(worst_, arrivals_.size());
+  peak_ = std::max(peak_, arrivals_.size());
 }
 
-SlotEndpoint::Entry SlotEndpoint::Enter(
+SlotEndpoint::Admission SlotEndpoint::Admit(
     const std::shared_ptr<SlotSession>& session) {
   if (running_ < kSlots) {
     ++running_;
-    return Entry::kRuns;
+    return Admission::kStarted;
   }
-  if (waiting_.size() >= kQueue) {
-    return Entry::kFull;
+  if (waiting_.size() >= kQueueCapacity) {
+    return Admission::kFull;
   }
   waiting_.push_back(session);
-  return Entry::kWaits;
+  return Admission::kQueued;
 }
 
-void SlotEndpoint::Leave(const std::shared_ptr<SlotSession>& session,
-                         bool was_running) {
+void SlotEndpoint::Release(const std::shared_ptr<SlotSession>& session,
+                           bool was_running) {
   if (!was_running) {
     std::erase(waiting_, session);
     return;
@@ -94,10 +94,11 @@
 }
 
 Duration SlotEndpoint::WorkTime(TimePoint now) const {
-  return ColdLeft(now) > Duration::zero() ? kWork * kColdFactor : kWork;
+  return RemainingColdTime(now) > Duration::zero() ? kWorkTime * kColdFactor
+                                                   : kWorkTime;
 }
 
-std::string SlotEndpoint::Load() const {
+std::string SlotEndpoint::LoadHeader() const {
   return std::to_string(running_) + "," + std::to_string(waiting_.size()) +
          "," + std::to_string(kSlots) + ",100";
 }
--- a/tests/soak/slot_endpoint.h
+++ b/tests/soak/slot_endpoint.h
@@ -15,11 +15,11 @@
 
 class SlotSession;
 
-// An endpoint of a service whose endpoints become cold: it works on as many
-// requests at a time as it has slots, keeps a few more waiting, resets the
-// connections of others, and drops a request when its connection closes. Counts
-// what arrives while it is cold. Its connections are served by the thread that
-// runs the context; the public functions may be called from others.
+// Simulates an endpoint that can become cold. It processes one request per
+// slot, queues a few more, resets the connections of the rest, and drops a
+// request when its connection closes. Counts the requests that arrive while it
+// is cold. Connections are served by the thread that runs the context; the
+// public functions may be called from other threads.
 class SlotEndpoint {
  public:
   SlotEndpoint(std::string id, boost::asio::io_context& context);
@@ -29,27 +29,31 @@
   std::uint16_t port() const { return port_; }
   static constexpr int kSlots = 2;
 
-  // From now on and for so long work takes longer, and probes are told so.
+  // Makes the endpoint cold for `length`: requests take longer, and responses
+  // to probes report the remaining time.
   void BecomeCold(Duration length);
-  // How much longer it stays cold; zero where it is not.
-  Duration ColdLeft(TimePoint now) const;
-  // The most requests that arrived within a second while it was cold.
-  std::size_t worst_cold_second() const;
+  // Returns for how much longer the endpoint stays cold; zero if it is not
+  // cold.
+  Duration RemainingColdTime(TimePoint now) const;
+  // Largest number of requests that arrived within one second while it was
+  // cold.
+  std::size_t peak_cold_rate() const;
 
  private:
   friend class SlotSession;
   using Tcp = boost::asio::ip::tcp;
 
-  enum class Entry : std::uint8_t { kRuns, kWaits, kFull };
+  enum class Admission : std::uint8_t { kStarted, kQueued, kFull };
 
   void Accept();
-  // A request that names this endpoint.
+  // Counts a request whose target header names this endpoint.
   void CountArrival(TimePoint now);
-  Entry Enter(const std::shared_ptr<SlotSession>& session);
-  // The session's request has ended or its connection has closed.
-  void Leave(const std::shared_ptr<SlotSession>& session, bool was_running);
+  Admission Admit(const std::shared_ptr<SlotSession>& session);
+  // Frees the slot or the queue entry of a session whose request has ended or
+  // whose connection has closed, and starts the next queued request.
+  void Release(const std::shared_ptr<SlotSession>& session, bool was_running);
   Duration WorkTime(TimePoint now) const;
-  std::string Load() const;
+  std::string LoadHeader() const;
 
   const std::string id_;
   Tcp::acceptor acceptor_;
@@ -60,7 +64,7 @@
   mutable std::mutex mutex_;
   TimePoint cold_until_;
   std::deque<TimePoint> arrivals_;
-  std::size_t worst_ = 0;
+  std::size_t peak_ = 0;
 };
 
 }  // namespace damasktack
--- a/tests/soak/slot_endpoints.h
+++ b/tests/soak/slot_endpoints.h
@@ -10,7 +10,8 @@
 
 namespace damasktack {
 
-// All endpoints of a service that become cold, on a thread of their own.
+// All endpoints of the service whose endpoints become cold, served by one
+// thread.
 class SlotEndpoints {
  public:
   explicit SlotEndpoints(int count) : work_(context_.get_executor()) {
--- a/tests/soak/slot_session.cc
+++ b/tests/soak/slot_session.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr auto kCall = "X-Damasktack-Request-Id";
-constexpr auto kTarget = "X-Damasktack-Target-Instance";
+constexpr auto kCallIdHeader = "X-Damasktack-Request-Id";
+constexpr auto kTargetInstanceHeader = "X-Damasktack-Target-Instance";
 
 }  // namespace
 
@@ -39,21 +39,21 @@
     AnswerProbe();
     return;
   }
-  if (request_[kTarget] != endpoint_.id()) {
+  if (request_[kTargetInstanceHeader] != endpoint_.id()) {
     Response refusal = MakeAnswer(http::status::misdirected_request);
     refusal.set("X-Damasktack-Not-Executed", "1");
     Answer(std::move(refusal));
     return;
   }
   endpoint_.CountArrival(Clock::now());
-  const auto entry = endpoint_.Enter(shared_from_this());
-  if (entry == SlotEndpoint::Entry::kFull) {
+  const auto admission = endpoint_.Admit(shared_from_this());
+  if (admission == SlotEndpoint::Admission::kFull) {
     Reset();
     return;
   }
   state_ = State::kWaiting;
   WatchForClose();
-  if (entry == SlotEndpoint::Entry::kRuns) {
+  if (admission == SlotEndpoint::Admission::kStarted) {
     Run();
   }
 }
@@ -66,29 +66,31 @@
       return;
     }
     self->state_ = State::kIdle;
-    self->endpoint_.Leave(self, true);
+    self->endpoint_.Release(self, true);
     self->socket_.cancel(ec);
     Response answer = self->MakeAnswer(http::status::ok);
-    answer.body() = "ran " + std::string(self->request_[kCall]) + " at c";
+    answer.body() =
+        "ran " + std::string(self->request_[kCallIdHeader]) + " at c";
     self->Answer(std::move(answer));
   });
 }
 
-// Nothing is sent on the connection while its request is worked on, so that it
-// becomes readable only where the sender has closed it.
+// The client sends nothing while its request is processed, so the connection
+// becomes readable only when the client has closed it.
 void SlotSession::WatchForClose() {
   socket_.async_wait(boost::asio::ip::tcp::socket::wait_read,
                      [self = shared_from_this()](boost::system::error_code ec) {
-                       const bool is_held = self->state_ == State::kWaiting ||
-                                            self->state_ == State::kRunning;
-                       if (ec || !is_held) {
+                       const bool is_pending =
+                           self->state_ == State::kWaiting ||
+                           self->state_ == State::kRunning;
+                       if (ec || !is_pending) {
                          return;
                        }
                        const bool was_running = self->state_ == State::kRunning;
                        self->state_ = State::kClosed;
                        self->work_.cancel();
                        self->socket_.close(ec);
-                       self->endpoint_.Leave(self, was_running);
+                       self->endpoint_.Release(self, was_running);
                      });
 }
 
@@ -103,15 +105,15 @@
   Response answer = MakeAnswer(http::status::ok);
   answer.set("X-Damasktack-Instance-Id", endpoint_.id());
   const auto cold = std::chrono::duration_cast<std::chrono::milliseconds>(
-      endpoint_.ColdLeft(Clock::now()));
+      endpoint_.RemainingColdTime(Clock::now()));
   answer.set("X-Damasktack-Cold-Ms", std::to_string(cold.count()));
   Answer(std::move(answer));
 }
 
 SlotSession::Response SlotSession::MakeAnswer(http::status status) const {
   Response answer(status, 11);
-  answer.set("X-Damasktack-Server-Load", endpoint_.Load());
-  answer.set(kCall, request_[kCall]);
+  answer.set("X-Damasktack-Server-Load", endpoint_.LoadHeader());
+  answer.set(kCallIdHeader, request_[kCallIdHeader]);
   return answer;
 }
 
--- a/tests/soak/slot_session.h
+++ b/tests/soak/slot_session.h
@@ -10,13 +10,13 @@
 
 namespace damasktack {
 
-// One connection to a SlotEndpoint.
+// Serves one connection to a SlotEndpoint.
 class SlotSession : public std::enable_shared_from_this<SlotSession> {
  public:
   SlotSession(SlotEndpoint& endpoint, boost::asio::ip::tcp::socket socket);
 
   void Read();
-  // Begins to work on the request, for which a slot is free now.
+  // Starts to process the request once a slot is free.
   void Run();
 
  private:
--- a/tests/soak/soak_callers.h
+++ b/tests/soak/soak_callers.h
@@ -11,39 +11,41 @@
 
 namespace damasktack {
 
-// Callers that keep their connections open until these end, and one that asks
-// each host for the routes of the last versions. They tell the ledger what they
-// hear and check at once what one answer shows.
+// Runs callers that reuse their connections, one caller that requests the
+// routes of the two newest configuration versions from each host, and one that
+// sends a crashing request. Records the responses in the ledger and checks each
+// one.
 class SoakCallers {
  public:
   SoakCallers(const SoakFleet& fleet, SoakLedger& ledger, std::uint64_t seed);
   ~SoakCallers();
 
-  // Requests that got an answer, and those that got 200, since the last call.
-  struct Count {
-    int asked = 0;
+  // Requests sent, and those that got status 200, since the last TakeCounts().
+  struct CallCounts {
+    int sent = 0;
     int served = 0;
   };
-  Count TakeCount();
+  CallCounts TakeCounts();
 
  private:
-  struct Seen {
-    int life = 0;
+  struct SeenVersion {
+    int generation = 0;
     int version = 0;
   };
 
   void Call(std::uint64_t seed);
-  void AskVersions();
-  // The same request again and again, at any host; it crashes what runs it.
+  void QueryVersions();
+  // Repeats one request, at random hosts, that crashes each endpoint that
+  // executes it.
   void SendCrashing(std::uint64_t seed);
-  void AskVersion(int host, int version, Seen& seen);
+  void QueryVersion(int host, int version, SeenVersion& seen);
 
   const SoakFleet& fleet_;
   SoakLedger& ledger_;
   const std::string prefix_;
   std::atomic<bool> stopping_ = false;
   std::atomic<int> next_ = 0;
-  std::atomic<int> asked_ = 0;
+  std::atomic<int> sent_ = 0;
   std::atomic<int> served_ = 0;
   std::vector<std::thread> threads_;
 };
--- a/tests/soak/soak_endpoint.cc
+++ b/tests/soak/soak_endpoint.cc
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr auto kCall = "X-Damasktack-Request-Id";
+constexpr auto kCallIdHeader = "X-Damasktack-Request-Id";
 constexpr int kSlots = 6;
-// A connection holds a thread of the stand-in while it is kept.
+// Each open connection occupies one thread of the HTTP server.
 constexpr std::size_t kThreads = 64;
-constexpr int kShortestMs = 3;
-constexpr int kLongestMs = 30;
+constexpr int kMinWorkMs = 3;
+constexpr int kMaxWorkMs = 30;
 
 }  // namespace
 
@@ -30,7 +30,7 @@
   server_->Get("/health",
                [this](const httplib::Request&, httplib::Response& res) {
                  res.set_header("X-Damasktack-Instance-Id", this->id());
-                 res.set_header("X-Damasktack-Server-Load", Load());
+                 res.set_header("X-Damasktack-Server-Load", LoadHeader());
                });
   const auto serve = [this](const httplib::Request& req,
                             httplib::Response& res) { Serve(req, res); };
@@ -53,18 +53,18 @@
   return id_;
 }
 
-void SoakEndpoint::BecomeNew(const std::string& id) {
+void SoakEndpoint::SetNewIdentity(const std::string& id) {
   const std::lock_guard lock(mutex_);
   id_ = id;
   is_leaving_ = false;
 }
 
-std::string SoakEndpoint::Load() const {
+std::string SoakEndpoint::LoadHeader() const {
   return std::to_string(running_) + ",0," + std::to_string(kSlots) + "," +
          std::to_string(100 * slowdown_);
 }
 
-void SoakEndpoint::SayWishes(httplib::Response& res) const {
+void SoakEndpoint::SetLimitHeaders(httplib::Response& res) const {
   if (rate_limit_ > 0) {
     res.set_header("X-Damasktack-Server-Limit", std::to_string(rate_limit_));
   }
@@ -74,9 +74,9 @@
 }
 
 void SoakEndpoint::Serve(const httplib::Request& req, httplib::Response& res) {
-  const std::string call = req.get_header_value(kCall);
-  res.set_header(kCall, call);
-  res.set_header("X-Damasktack-Server-Load", Load());
+  const std::string call = req.get_header_value(kCallIdHeader);
+  res.set_header(kCallIdHeader, call);
+  res.set_header("X-Damasktack-Server-Load", LoadHeader());
   const auto refuse = [&](int status) {
     res.status = status;
     res.set_header("X-Damasktack-Not-Executed", "1");
@@ -86,22 +86,22 @@
     return;
   }
   ++arrivals_;
-  SayWishes(res);
-  ledger_.Arrived(call);
+  SetLimitHeaders(res);
+  ledger_.RecordArrival(call);
   if (is_forbidden_) {
-    ledger_.Violation(call + ": reached " + id() + " after it had left");
+    ledger_.AddViolation(call + ": reached " + id() + " after it had left");
   }
   if (is_full_ || running_ >= kSlots) {
     refuse(503);
-    if (rest_seconds_ > 0) {
-      res.set_header("Retry-After", std::to_string(rest_seconds_));
+    if (retry_after_seconds_ > 0) {
+      res.set_header("Retry-After", std::to_string(retry_after_seconds_));
     }
     return;
   }
   ++running_;
-  ledger_.Ran(call);
+  ledger_.RecordRun(call);
   thread_local std::mt19937 random(std::random_device{}());
-  std::uniform_int_distribution<int> ms(kShortestMs, kLongestMs);
+  std::uniform_int_distribution<int> ms(kMinWorkMs, kMaxWorkMs);
   std::this_thread::sleep_for(
       std::chrono::milliseconds(ms(random) * slowdown_));
   --running_;
--- a/tests/soak/soak_endpoint.h
+++ b/tests/soak/soak_endpoint.h
@@ -18,8 +18,9 @@
 
 namespace damasktack {
 
-// One endpoint as the platform's callers know it: runs requests that name it,
-// refuses others, tells its load, and tells the ledger what it ran.
+// Simulates one endpoint of the platform: executes requests whose target header
+// names it, rejects others, reports its load, and records in the ledger what it
+// executed.
 class SoakEndpoint {
  public:
   SoakEndpoint(std::string id, std::string service, SoakLedger& ledger);
@@ -28,26 +29,27 @@
   std::uint16_t port() const { return port_; }
   std::string id() const;
   const std::string& service() const { return service_; }
-  // The address passes to a new endpoint; the old one's requests are refused.
-  void BecomeNew(const std::string& id);
-  // Answers 503 unrun to everything, as an endpoint does that is full.
+  // Gives the address to a new endpoint; requests for the old one are rejected.
+  void SetNewIdentity(const std::string& id);
+  // Rejects every request with 503, not executed, as an overloaded endpoint
+  // does.
   void SetFull(bool full) { is_full_ = full; }
   void SetSlowdown(int factor) { slowdown_ = factor; }
-  // States a limit of so many requests a second from all hosts; 0 for none.
+  // Announces a rate limit in requests per second over all hosts; 0 for none.
   void SetRateLimit(int per_second) { rate_limit_ = per_second; }
-  // Asks each host that it refuses for so much rest; 0 for none.
-  void SetRest(int seconds) { rest_seconds_ = seconds; }
-  // Says in its answers that it leaves, until it becomes a new one.
-  void SayLeaving() { is_leaving_ = true; }
-  // Requests that have arrived and named it.
+  // Sends this Retry-After with each rejection for overload; 0 for none.
+  void SetRetryAfter(int seconds) { retry_after_seconds_ = seconds; }
+  // Announces in its responses that it leaves, until SetNewIdentity().
+  void AnnounceLeaving() { is_leaving_ = true; }
+  // Number of requests that arrived with this endpoint as their target.
   int arrivals() const { return arrivals_; }
-  // From now on nothing may arrive any more; what does is a violation.
+  // While set, each request that arrives is recorded as a violation.
   void ForbidArrivals(bool forbidden) { is_forbidden_ = forbidden; }
 
  private:
   void Serve(const httplib::Request& req, httplib::Response& res);
-  std::string Load() const;
-  void SayWishes(httplib::Response& res) const;
+  std::string LoadHeader() const;
+  void SetLimitHeaders(httplib::Response& res) const;
 
   const std::string service_;
   SoakLedger& ledger_;
@@ -58,7 +60,7 @@
   std::atomic<bool> is_leaving_ = false;
   std::atomic<int> slowdown_ = 1;
   std::atomic<int> rate_limit_ = 0;
-  std::atomic<int> rest_seconds_ = 0;
+  std::atomic<int> retry_after_seconds_ = 0;
   std::atomic<int> arrivals_ = 0;
   std::atomic<int> running_ = 0;
   std::unique_ptr<httplib::Server> server_;
--- a/tests/soak/soak_environment.h
+++ b/tests/soak/soak_environment.h
@@ -5,13 +5,14 @@
 
 namespace damasktack {
 
-// What a run by hand sets in its environment; `otherwise` where it does not.
+// Returns an integer environment variable, or `otherwise` if it is not set.
 inline int SoakSetting(const char* name, int otherwise) {
   const char* text = std::getenv(name);
   return text == nullptr ? otherwise : std::atoi(text);
 }
 
-// The daemon to play, so that another build can be compared.
+// Path of the daemon under test. DAMASKTACK_SOAK_BINARY selects another build
+// for a comparison.
 inline const char* SoakBinary() {
   const char* path = std::getenv("DAMASKTACK_SOAK_BINARY");
   return path == nullptr ? DAMASKTACK_BINARY : path;
--- a/tests/soak/soak_fleet.cc
+++ b/tests/soak/soak_fleet.cc
@@ -14,21 +14,21 @@
 namespace {
 
 constexpr int kSeeds = 3;
-// As the platform does, with room for a busy machine.
-constexpr Duration kGrace = std::chrono::seconds(6);
+// Grace period of the platform plus a margin for a busy machine.
+constexpr Duration kStopGracePeriod = std::chrono::seconds(6);
 constexpr Duration kRestartDelay = std::chrono::milliseconds(300);
 constexpr auto kService = "s";
 constexpr auto kFragileService = "f";
-constexpr Duration kTarget = std::chrono::milliseconds(300);
+constexpr Duration kTargetLatency = std::chrono::milliseconds(300);
 constexpr auto kColdService = "c";
-constexpr Duration kColdTarget = std::chrono::milliseconds(600);
-// Requests a second that a cold endpoint is said to bear, and the settings that
-// make kMostInColdSecond of them.
+constexpr Duration kColdTargetLatency = std::chrono::milliseconds(600);
+// Published rate limit of a cold endpoint in requests per second, and the
+// settings with which it results in kMaxColdRequestsPerSecond.
 constexpr double kColdRate = 2;
 constexpr double kColdOvershoot = 1.5;
 constexpr double kColdSlack = 8;
 constexpr int kFragileEndpoints = 6;
-constexpr Duration kFragileDownFor = std::chrono::seconds(1);
+constexpr Duration kFragileDowntime = std::chrono::seconds(1);
 
 std::string MakeFolder() {
   std::string path =
@@ -37,14 +37,15 @@
   return mkdtemp(path.data()) == nullptr ? "." : path;
 }
 
-// New for each run, also within one process: connections of the last run linger
-// in TIME-WAIT for a minute, and where the administration server had a port,
-// its options keep the peers' server from it for as long.
-std::string OwnLoopbackAddress() {
-  constexpr int kRuns = 200;
+// Returns a new address for each run, also within one process: connections of
+// the previous run stay in TIME-WAIT for a minute, and during this time the
+// socket options of the administration server prevent the peer server from
+// binding a port that the former had used.
+std::string UniqueLoopbackAddress() {
+  constexpr int kStarted = 200;
   static std::atomic<int> runs = 0;
   const int pid = getpid();
-  return "127." + std::to_string(1 + runs++ % kRuns) + "." +
+  return "127." + std::to_string(1 + runs++ % kStarted) + "." +
          std::to_string(pid / 256 % 256) + "." + std::to_string(pid % 256);
 }
 
@@ -55,13 +56,13 @@
 Json Route(const std::string& prefix,
            const std::string& kind,
            const std::string& service = kService,
-           Duration target = kTarget) {
+           Duration target = kTargetLatency) {
   const auto ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(target).count();
   return Json{prefix, "soak.example", prefix, kind, 1500, ms, 2, service};
 }
 
-// As published; the caller adds where it is.
+// Returns the published entry of an endpoint without its address.
 Json EndpointEntry(const std::string& service,
                    int zone,
                    const std::string& state) {
@@ -78,9 +79,9 @@
 SoakFleet::SoakFleet(const SoakSize& size, SoakLedger& ledger)
     : ledger_(ledger),
       folder_(MakeFolder()),
-      ip_(OwnLoopbackAddress()),
+      ip_(UniqueLoopbackAddress()),
       hosts_(static_cast<std::size_t>(size.hosts)),
-      lives_(static_cast<std::size_t>(size.hosts)),
+      generations_(static_cast<std::size_t>(size.hosts)),
       endpoints_(static_cast<std::size_t>(size.endpoints)),
       cold_endpoints_(size.cold_endpoints) {
   signal(SIGPIPE, SIG_IGN);
@@ -93,7 +94,7 @@
   }
   PutFragileEndpoints();
   for (int n = 0; n < cold_endpoints_.size(); ++n) {
-    TellCold(n);
+    PublishColdState(n);
   }
   PublishNextVersion();
   for (Host& it : hosts_) {
@@ -117,7 +118,7 @@
   if (ledger_.Violations().empty()) {
     std::filesystem::remove_all(folder_, ec);
   } else {
-    std::puts(("logs of the hosts are kept in " + folder_).c_str());
+    std::puts(("host logs are kept in " + folder_).c_str());
   }
 }
 
@@ -129,7 +130,7 @@
   const Host& host = hosts_[n];
   Json seeds = Json::array();
   for (int seed = 0; seed < std::min(kSeeds, hosts()); ++seed) {
-    // A seed knows itself by its own address; others go through its proxy.
+    // A seed recognizes itself by its own address; other hosts use its proxy.
     seeds.push_back(seed == n ? ToString(At(hosts_[seed].peers))
                               : Local(hosts_[seed].peer_link));
   }
@@ -164,7 +165,7 @@
 
 void SoakFleet::StartHost(int n) {
   std::ofstream(PathOf(n, ".json")) << SettingsOf(n);
-  ++lives_[n];
+  ++generations_[n];
   Host& host = hosts_[n];
   host.process = std::make_unique<ChildProcess>(
       std::vector<std::string>{SoakBinary(), "--settings", PathOf(n, ".json")},
@@ -184,7 +185,7 @@
                     {"rows",
                      {Route("/read/", "safe"), Route("/write/", "unsafe"),
                       Route("/fragile/", "safe", kFragileService),
-                      Route("/cold/", "safe", kColdService, kColdTarget),
+                      Route("/cold/", "safe", kColdService, kColdTargetLatency),
                       Route("/v" + std::to_string(next) + "/", "safe")}}};
   const double cold_seconds = std::chrono::duration<double>(kColdTime).count();
   const Json services{
@@ -204,32 +205,32 @@
   const Endpoint& it = endpoints_[n];
   Json entry = EndpointEntry(it.server->service(), ZoneOf(n), state);
   entry["address"] = Local(it.link);
-  entry["born"] = it.life;
+  entry["born"] = it.generation;
   store_.PutJson("servers/" + it.server->id(), entry.dump());
 }
 
 void SoakFleet::PutFragileEndpoints() {
   for (int n = 0; n < kFragileEndpoints; ++n) {
     fragile_.push_back(std::make_unique<CrashingEndpoint>(
-        "X-Damasktack-Request-Id", kFragileDownFor));
+        "X-Damasktack-Request-Id", kFragileDowntime));
     Json entry = EndpointEntry(kFragileService, ZoneOf(n), "ready");
     entry["address"] = Local(fragile_.back()->port());
     store_.PutJson("servers/f" + std::to_string(n), entry.dump());
   }
 }
 
-std::vector<SocketAddress> SoakFleet::AllDirect() const {
+std::vector<SocketAddress> SoakFleet::AllDirectAddresses() const {
   std::vector<SocketAddress> all;
   for (int n = 0; n < hosts(); ++n) {
-    all.push_back(DirectOf(n));
+    all.push_back(DirectAddress(n));
   }
   return all;
 }
 
-void SoakFleet::TellCold(int n) {
+void SoakFleet::PublishColdState(int n) {
   SlotEndpoint& endpoint = cold_endpoints_.at(n);
   const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
-      endpoint.ColdLeft(Clock::now()));
+      endpoint.RemainingColdTime(Clock::now()));
   Json entry = EndpointEntry(kColdService, ZoneOf(n), "ready");
   entry["address"] = Local(endpoint.port());
   entry["info"]["slots"] = SlotEndpoint::kSlots;
@@ -261,11 +262,11 @@
   store_.Remove("servers/" + endpoints_[endpoint].server->id());
 }
 
-void SoakFleet::Renew(int endpoint) {
+void SoakFleet::Replace(int endpoint) {
   Endpoint& it = endpoints_[endpoint];
-  ++it.life;
-  it.server->BecomeNew("e" + std::to_string(endpoint) + "-" +
-                       std::to_string(it.life));
+  ++it.generation;
+  it.server->SetNewIdentity("e" + std::to_string(endpoint) + "-" +
+                            std::to_string(it.generation));
   PutEndpoint(endpoint, "ready");
 }
 
@@ -291,26 +292,30 @@
   it.process->Signal(paused ? SIGSTOP : SIGCONT);
 }
 
-void SoakFleet::HangUp(int host) {
+void SoakFleet::SendHangup(int host) {
   hosts_[host].process->Signal(SIGHUP);
 }
 
-void SoakFleet::SetFault(Way way, int n, LinkFault fault, Duration delay) {
-  const std::uint16_t link = way == Way::kEndpoint  ? endpoints_[n].link
-                             : way == Way::kCallers ? hosts_[n].caller_link
-                             : way == Way::kStore   ? hosts_[n].store_link
-                                                    : hosts_[n].peer_link;
+void SoakFleet::SetFault(LinkKind link_kind,
+                         int n,
+                         LinkFault fault,
+                         Duration delay) {
+  const std::uint16_t link =
+      link_kind == LinkKind::kEndpoint  ? endpoints_[n].link
+      : link_kind == LinkKind::kCallers ? hosts_[n].caller_link
+      : link_kind == LinkKind::kStore   ? hosts_[n].store_link
+                                        : hosts_[n].peer_link;
   proxies_.SetFault(link, fault, delay);
 }
 
 void SoakFleet::CheckStop(int n, TimePoint now) {
   Host& host = hosts_[n];
-  if (!host.terminated_at || now - *host.terminated_at < kGrace) {
+  if (!host.terminated_at || now - *host.terminated_at < kStopGracePeriod) {
     return;
   }
   if (host.is_undisturbed) {
-    ledger_.Violation("h" + std::to_string(n) +
-                      ": still there at the end of the grace time");
+    ledger_.AddViolation("h" + std::to_string(n) +
+                         ": still running at the end of the grace period");
   }
   Kill(n);
 }
@@ -329,10 +334,11 @@
       continue;
     }
     const int code = host.process->Wait();
-    const bool was_asked = host.was_killed || host.terminated_at;
-    if (!was_asked || (!host.was_killed && code != 0)) {
-      ledger_.Violation("h" + std::to_string(n) + ": ended by itself with " +
-                        std::to_string(code));
+    const bool was_expected = host.was_killed || host.terminated_at;
+    if (!was_expected || (!host.was_killed && code != 0)) {
+      ledger_.AddViolation("h" + std::to_string(n) +
+                           ": exited unexpectedly with code " +
+                           std::to_string(code));
     }
     host.restart_at = now + kRestartDelay;
   }
--- a/tests/soak/soak_fleet.h
+++ b/tests/soak/soak_fleet.h
@@ -22,13 +22,14 @@
 struct SoakSize {
   int hosts = 5;
   int endpoints = 6;
-  // Of the service whose endpoints become cold.
+  // Endpoints of the service whose endpoints become cold.
   int cold_endpoints = 6;
 };
 
-// Daemons as separate processes, a store and endpoints in this one, and a fault
-// proxy on each way: callers to hosts, hosts to the store, to endpoints and to
-// seeds. One thread changes it; the counters may be read by others.
+// Runs a fleet of daemons as separate processes, with a store and endpoints in
+// this process and a fault proxy on each link: callers to hosts, and hosts to
+// the store, to endpoints and to seeds. Only one thread may modify it; other
+// threads may read the counters.
 class SoakFleet {
  public:
   SoakFleet(const SoakSize& size, SoakLedger& ledger);
@@ -37,57 +38,60 @@
   int hosts() const { return static_cast<int>(hosts_.size()); }
   int endpoints() const { return static_cast<int>(endpoints_.size()); }
 
-  // Where callers reach a host, through its proxy, and a host itself.
-  SocketAddress CallersOf(int host) const {
+  // Address of a host through its fault proxy, and without it.
+  SocketAddress CallerAddress(int host) const {
     return {"127.0.0.1", hosts_[host].caller_link};
   }
-  SocketAddress DirectOf(int host) const { return At(hosts_[host].callers); }
-  std::vector<SocketAddress> AllDirect() const;
-  SocketAddress AdminOf(int host) const { return At(hosts_[host].admin); }
-  // Goes up with each start of the host's process.
-  int LifeOf(int host) const { return lives_[host]; }
-
-  // Publishes the next version, in which "/v<version>/" replaces the route of
-  // the version before.
+  SocketAddress DirectAddress(int host) const {
+    return At(hosts_[host].callers);
+  }
+  std::vector<SocketAddress> AllDirectAddresses() const;
+  SocketAddress AdminAddress(int host) const { return At(hosts_[host].admin); }
+  // Number of times that the host's process was started.
+  int GenerationOf(int host) const { return generations_[host]; }
+
+  // Publishes the next configuration version, in which the route
+  // "/v<version>/" replaces that of the previous version.
   void PublishNextVersion();
   int version() const { return version_; }
 
   void Kill(int host);
   void Terminate(int host);
   void Pause(int host, bool paused);
-  void HangUp(int host);
+  void SendHangup(int host);
 
-  enum class Way : std::uint8_t { kCallers, kStore, kPeers, kEndpoint };
-  // `n` is a host, or an endpoint for the last way.
-  void SetFault(Way way, int n, LinkFault fault, Duration delay);
+  enum class LinkKind : std::uint8_t { kCallers, kStore, kPeers, kEndpoint };
+  // `n` is the index of an endpoint for kEndpoint, of a host otherwise.
+  void SetFault(LinkKind link_kind, int n, LinkFault fault, Duration delay);
   StandinStore& store() { return store_; }
 
-  // An endpoint reports that it leaves; then its entry goes; then a new one
-  // takes its address.
+  // The steps by which an endpoint is replaced: its entry says that it drains,
+  // the entry is removed, and a new endpoint takes over the address.
   void Drain(int endpoint);
   void Remove(int endpoint);
-  void Renew(int endpoint);
+  void Replace(int endpoint);
   SoakEndpoint& endpoint(int n) { return *endpoints_[n].server; }
 
   static constexpr int kZones = 2;
   static int ZoneOf(int endpoint) { return endpoint % kZones; }
-  // The operator's order that a zone is to get no calls, and its end.
+  // Sets and removes the operator's order that a zone gets no calls.
   void DrainZone(int zone);
   void ReleaseZone(int zone);
 
-  // The endpoints of a service of their own that become cold, the requests that
-  // one of them bears within a second, and for how long one is cold.
+  // The endpoints of the service whose endpoints become cold, the largest
+  // number of requests that one may get within a second, and how long one stays
+  // cold.
   SlotEndpoints& cold_endpoints() { return cold_endpoints_; }
-  static constexpr std::size_t kMostInColdSecond = 11;
+  static constexpr std::size_t kMaxColdRequestsPerSecond = 11;
   static constexpr Duration kColdTime = std::chrono::seconds(3);
-  // The entry of one says for how long it stays cold.
-  void TellCold(int n);
+  // Publishes in the endpoint's entry for how long it stays cold.
+  void PublishColdState(int n);
 
-  // Endpoints of a service of their own that have ended under requests which
-  // crash what runs them.
+  // Number of endpoint crashes in the service that gets the crashing requests.
   int crashes() const;
 
-  // Starts hosts that have ended again, and looks after those that stop.
+  // Restarts hosts that have exited, and checks that stopping hosts exit within
+  // the grace period.
   void Tick(TimePoint now);
   bool AllRun() const;
 
@@ -101,7 +105,7 @@
     std::uint16_t peer_link = 0;
     std::unique_ptr<ChildProcess> process;
     bool is_paused = false;
-    // A planned stop that nothing else has disturbed, and one in all.
+    // Time of SIGTERM, and whether no pause disturbed the stop.
     std::optional<TimePoint> terminated_at;
     bool is_undisturbed = true;
     bool was_killed = false;
@@ -110,7 +114,7 @@
   struct Endpoint {
     std::unique_ptr<SoakEndpoint> server;
     std::uint16_t link = 0;
-    int life = 0;
+    int generation = 0;
   };
 
   SocketAddress At(std::uint16_t port) const { return {ip_, port}; }
@@ -123,14 +127,14 @@
 
   SoakLedger& ledger_;
   const std::string folder_;
-  // Each run has an address of its own, so that a port that a host has left for
-  // a moment is not taken by another run beside it.
+  // Each run has its own loopback address, so that a concurrent run can't take
+  // the port of a host that is being restarted.
   const std::string ip_;
   FreePorts ports_;
   StandinStore store_{100};
   FaultProxies proxies_;
   std::vector<Host> hosts_;
-  std::vector<std::atomic<int>> lives_;
+  std::vector<std::atomic<int>> generations_;
   std::vector<Endpoint> endpoints_;
   std::vector<std::unique_ptr<CrashingEndpoint>> fragile_;
   SlotEndpoints cold_endpoints_;
--- a/tests/soak/soak_ledger.cc
+++ b/tests/soak/soak_ledger.cc
@@ -6,38 +6,38 @@
 
 namespace {
 
-// Repeats by the fleet's budget: a fifth of the requests and some at once.
-constexpr double kRepeatShare = 0.2;
+// Retry budget of the fleet: a fifth of the requests plus a burst.
+constexpr double kRepeatFraction = 0.2;
 constexpr double kRepeatSlack = 60;
 
-bool PromisesNotRun(int status) {
+bool ImpliesNotExecuted(int status) {
   return status == 503 || status == 429 || status == 408 || status == 421;
 }
 
 }  // namespace
 
-void SoakLedger::Sent(const std::string& call, bool idempotent) {
+void SoakLedger::RecordSent(const std::string& call, bool idempotent) {
   const std::lock_guard lock(mutex_);
   calls_[call].is_known = true;
   calls_[call].idempotent = idempotent;
 }
 
-void SoakLedger::Ran(const std::string& call) {
+void SoakLedger::RecordRun(const std::string& call) {
   const std::lock_guard lock(mutex_);
   ++calls_[call].runs;
 }
 
-void SoakLedger::Arrived(const std::string& call) {
+void SoakLedger::RecordArrival(const std::string& call) {
   const std::lock_guard lock(mutex_);
   ++calls_[call].arrivals;
 }
 
-void SoakLedger::Answered(const std::string& call, int status) {
+void SoakLedger::RecordAnswer(const std::string& call, int status) {
   const std::lock_guard lock(mutex_);
   calls_[call].status = status;
 }
 
-void SoakLedger::Violation(std::string text) {
+void SoakLedger::AddViolation(std::string text) {
   const std::lock_guard lock(mutex_);
   violations_.push_back(std::move(text));
 }
@@ -56,27 +56,28 @@
 std::vector<std::string> SoakLedger::Violations() const {
   const std::lock_guard lock(mutex_);
   std::vector<std::string> found = violations_;
-  double repeats = 0;
+  double retries = 0;
   for (const auto& [call, it] : calls_) {
     if (!it.is_known) {
-      found.push_back(call + ": ran, and no caller sent it");
+      found.push_back(call + ": executed, but no caller sent it");
     }
     if (!it.idempotent && it.runs > 1) {
-      found.push_back(call + ": ran " + std::to_string(it.runs) + " times");
+      found.push_back(call + ": not idempotent, but executed " +
+                      std::to_string(it.runs) + " times");
     }
-    if (!it.idempotent && it.runs > 0 && PromisesNotRun(it.status)) {
-      found.push_back(call + ": told " + std::to_string(it.status) +
-                      ", and ran");
+    if (!it.idempotent && it.runs > 0 && ImpliesNotExecuted(it.status)) {
+      found.push_back(call + ": caller got " + std::to_string(it.status) +
+                      ", but it was executed");
     }
     if (it.status == 200 && it.runs == 0) {
-      found.push_back(call + ": answered 200 without a run");
+      found.push_back(call + ": answered with 200, but not executed");
     }
-    repeats += std::max(0, it.arrivals - 1);
+    retries += std::max(0, it.arrivals - 1);
   }
   const double allowed =
-      kRepeatShare * static_cast<double>(calls_.size()) + kRepeatSlack;
-  if (repeats > allowed) {
-    found.push_back(std::to_string(repeats) + " repeats, " +
+      kRepeatFraction * static_cast<double>(calls_.size()) + kRepeatSlack;
+  if (retries > allowed) {
+    found.push_back(std::to_string(retries) + " retries, " +
                     std::to_string(allowed) + " allowed");
   }
   return found;
--- a/tests/soak/soak_ledger.h
+++ b/tests/soak/soak_ledger.h
@@ -9,22 +9,25 @@
 
 namespace damasktack {
 
-// What callers were told and what endpoints ran, by the id of each request; it
-// says which promises these two break. Safe to use from several threads.
+// Records by request id which responses callers got and what endpoints
+// executed, and reports where the two violate the guarantees of the load
+// balancer. Thread-safe.
 class SoakLedger {
  public:
-  // A request that may run once at most.
-  void Sent(const std::string& call, bool idempotent);
-  void Ran(const std::string& call);
-  // A further arrival of a request that has arrived before.
-  void Arrived(const std::string& call);
-  void Answered(const std::string& call, int status);
-  // Something that is wrong in itself.
-  void Violation(std::string text);
+  // Records a request sent by a caller. If it is not `idempotent`, it may be
+  // executed at most once.
+  void RecordSent(const std::string& call, bool idempotent);
+  void RecordRun(const std::string& call);
+  // Records an arrival at an endpoint; arrivals after the first are retries.
+  void RecordArrival(const std::string& call);
+  void RecordAnswer(const std::string& call, int status);
+  // Records a violation that the caller has detected itself.
+  void AddViolation(std::string text);
 
   std::size_t calls() const;
   std::size_t answered(int status) const;
-  // Broken promises so far, with those that only the whole record shows.
+  // Returns the recorded violations and those found by comparing the responses
+  // with the executions.
   std::vector<std::string> Violations() const;
 
  private:
--- a/tests/soak/soak_run.cc
+++ b/tests/soak/soak_run.cc
@@ -12,30 +12,34 @@
 using std::chrono::seconds;
 
 constexpr Duration kStep = milliseconds(20);
-constexpr Duration kShortestFault = milliseconds(150);
-constexpr int kMoreFaultMs = 2500;
-constexpr int kLongestGapMs = 500;
-constexpr int kLongestDelayMs = 120;
-// From when on the promises with a time bound hold again, and that bound.
-constexpr Duration kUntilWell = milliseconds(4500);
-constexpr Duration kInForce = milliseconds(2000);
-// Endpoints become cold all together or some of them, after such times.
-constexpr double kColdPart = 0.4;
-constexpr Duration kShortestWarm = milliseconds(500);
-constexpr std::uint64_t kMoreWarmMs = 5000;
+constexpr Duration kMinFault = milliseconds(150);
+constexpr int kMaxExtraFaultMs = 2500;
+constexpr int kMaxGapMs = 500;
+constexpr int kMaxDelayMs = 120;
+// Time after the last fault from which time limits are guaranteed again, and
+// the time limit for a change to take effect.
+constexpr Duration kSettleTime = milliseconds(4500);
+constexpr Duration kChangeDeadline = milliseconds(2000);
+// Fraction of the endpoints that become cold when not all do, and the range of
+// the time between two such events.
+constexpr double kColdFraction = 0.4;
+constexpr Duration kMinWarmTime = milliseconds(500);
+constexpr std::uint64_t kMaxExtraWarmMs = 5000;
 constexpr double kColdCallsPerSecond = 60;
-// A stated rate limit, when it is in force at all hosts, and what may come
-// within the time in which it is looked at.
+// Announced rate limit per second, the time until all hosts apply it, the time
+// for which arrivals are counted, and the number allowed in this time.
 constexpr int kRateLimit = 1;
-constexpr Duration kUntilLimited = seconds(3);
-constexpr seconds kLimitedFor(4);
-constexpr double kMostLimited = 1.5 * kRateLimit * kLimitedFor.count() + 5;
-// Of the calls of a calm second; a busy machine delays some.
-constexpr double kLeastServed = 0.9;
-// Endpoints that one request may end in a calm: three show what it does, and
-// it may be sent three times more. In the trouble before, hosts lose what they
-// knew of it.
-constexpr int kMostCrashes = 6;
+constexpr Duration kLimitSettleTime = seconds(3);
+constexpr seconds kLimitObservationTime(4);
+constexpr double kMaxLimitedArrivals =
+    1.5 * kRateLimit * kLimitObservationTime.count() + 5;
+// Fraction of the calls without faults that must succeed; a busy machine delays
+// some calls.
+constexpr double kMinServedFraction = 0.9;
+// Endpoints that one request may crash after the fault phase: three crashes
+// identify the request, and it may be sent three times more. Hosts may have
+// lost their crash records in the fault phase.
+constexpr int kMaxCrashes = 6;
 
 int StatusOf(const SocketAddress& at, const std::string& path) {
   httplib::Client client(at.ip, at.port);
@@ -54,45 +58,46 @@
       random_(plan.seed),
       fleet_(plan.size, ledger_),
       cold_random_(plan.seed),
-      returns_(fleet_, plan.seed) {
-  ledger_.Sent("check", true);
+      cold_phases_(fleet_, plan.seed) {
+  ledger_.RecordSent("check", true);
 }
 
 int SoakRun::Draw(int below) {
   return static_cast<int>(random_() % static_cast<std::uint64_t>(below));
 }
 
-void SoakRun::HealAfter(std::function<void()> action) {
-  const Duration length = kShortestFault + milliseconds(Draw(kMoreFaultMs));
-  heals_.push_back({Clock::now() + length, std::move(action)});
+void SoakRun::RecoverLater(std::function<void()> action) {
+  const Duration length = kMinFault + milliseconds(Draw(kMaxExtraFaultMs));
+  pending_recoveries_.push_back({Clock::now() + length, std::move(action)});
 }
 
-void SoakRun::HealDue(TimePoint now) {
-  std::vector<Heal> due;
-  std::erase_if(heals_, [&](Heal& it) {
+void SoakRun::RecoverDue(TimePoint now) {
+  std::vector<PendingRecovery> due;
+  std::erase_if(pending_recoveries_, [&](PendingRecovery& it) {
     const bool is_due = it.due <= now;
     if (is_due) {
       due.push_back(std::move(it));
     }
     return is_due;
   });
-  for (const Heal& it : due) {
+  for (const PendingRecovery& it : due) {
     it.action();
   }
 }
 
-void SoakRun::HealAll() {
-  HealDue(TimePoint::max());
+void SoakRun::RecoverAll() {
+  RecoverDue(TimePoint::max());
 }
 
 void SoakRun::BeginLinkFault() {
-  const auto way = static_cast<SoakFleet::Way>(Draw(4));
+  const auto link_kind = static_cast<SoakFleet::LinkKind>(Draw(4));
   const auto fault = static_cast<LinkFault>(1 + Draw(5));
-  const int n = Draw(way == SoakFleet::Way::kEndpoint ? fleet_.endpoints()
-                                                      : fleet_.hosts());
-  fleet_.SetFault(way, n, fault, milliseconds(Draw(kLongestDelayMs)));
-  HealAfter([this, way, n] {
-    fleet_.SetFault(way, n, LinkFault::kNone, Duration::zero());
+  const int n =
+      Draw(link_kind == SoakFleet::LinkKind::kEndpoint ? fleet_.endpoints()
+                                                       : fleet_.hosts());
+  fleet_.SetFault(link_kind, n, fault, milliseconds(Draw(kMaxDelayMs)));
+  RecoverLater([this, link_kind, n] {
+    fleet_.SetFault(link_kind, n, LinkFault::kNone, Duration::zero());
   });
 }
 
@@ -106,10 +111,10 @@
       fleet_.Terminate(host);
       break;
     case 2:
-      fleet_.HangUp(host);
+      fleet_.SendHangup(host);
       break;
     case 3:
-      // Many at once, in one moment.
+      // Kill about half of the hosts at the same time.
       for (int n = 0; n < fleet_.hosts(); ++n) {
         if (Draw(2) == 0) {
           fleet_.Kill(n);
@@ -118,7 +123,7 @@
       break;
     default:
       fleet_.Pause(host, true);
-      HealAfter([this, host] { fleet_.Pause(host, false); });
+      RecoverLater([this, host] { fleet_.Pause(host, false); });
   }
 }
 
@@ -128,7 +133,7 @@
     return;
   }
   fleet_.store().RefuseWith(Draw(2) == 0 ? 503 : 429);
-  HealAfter([this] { fleet_.store().RefuseWith(0); });
+  RecoverLater([this] { fleet_.store().RefuseWith(0); });
 }
 
 void SoakRun::BeginEndpointFault() {
@@ -136,45 +141,45 @@
   switch (Draw(4)) {
     case 0:
       fleet_.endpoint(n).SetFull(true);
-      HealAfter([this, n] { fleet_.endpoint(n).SetFull(false); });
+      RecoverLater([this, n] { fleet_.endpoint(n).SetFull(false); });
       break;
     case 1:
       fleet_.endpoint(n).SetSlowdown(2 + Draw(10));
-      HealAfter([this, n] { fleet_.endpoint(n).SetSlowdown(1); });
+      RecoverLater([this, n] { fleet_.endpoint(n).SetSlowdown(1); });
       break;
     case 2:
-      BeginEndpointWish(n);
+      BeginEndpointSignal(n);
       break;
     default:
       fleet_.Drain(n);
-      HealAfter([this, n] {
+      RecoverLater([this, n] {
         fleet_.Remove(n);
-        fleet_.Renew(n);
+        fleet_.Replace(n);
       });
   }
 }
 
-void SoakRun::BeginEndpointWish(int n) {
+void SoakRun::BeginEndpointSignal(int n) {
   SoakEndpoint& endpoint = fleet_.endpoint(n);
   switch (Draw(3)) {
     case 0:
       endpoint.SetRateLimit(1 + Draw(3));
-      HealAfter([&endpoint] { endpoint.SetRateLimit(0); });
+      RecoverLater([&endpoint] { endpoint.SetRateLimit(0); });
       break;
     case 1:
-      endpoint.SetRest(1 + Draw(2));
+      endpoint.SetRetryAfter(1 + Draw(2));
       endpoint.SetFull(true);
-      HealAfter([&endpoint] {
+      RecoverLater([&endpoint] {
         endpoint.SetFull(false);
-        endpoint.SetRest(0);
+        endpoint.SetRetryAfter(0);
       });
       break;
     default:
-      endpoint.SayLeaving();
+      endpoint.AnnounceLeaving();
       fleet_.Drain(n);
-      HealAfter([this, n] {
+      RecoverLater([this, n] {
         fleet_.Remove(n);
-        fleet_.Renew(n);
+        fleet_.Replace(n);
       });
   }
 }
@@ -182,16 +187,16 @@
 void SoakRun::BeginZoneDrain() {
   const int zone = Draw(SoakFleet::kZones);
   fleet_.DrainZone(zone);
-  HealAfter([this, zone] { fleet_.ReleaseZone(zone); });
+  RecoverLater([this, zone] { fleet_.ReleaseZone(zone); });
 }
 
-void SoakRun::BeginChange() {
+void SoakRun::PublishVersions() {
   for (int n = Draw(3); n >= 0; --n) {
     fleet_.PublishNextVersion();
   }
 }
 
-void SoakRun::Begin() {
+void SoakRun::BeginRandomFault() {
   ++faults_;
   switch (Draw(9)) {
     case 0:
@@ -213,26 +218,26 @@
       BeginZoneDrain();
       break;
     default:
-      BeginChange();
+      PublishVersions();
   }
 }
 
-void SoakRun::Pass(Duration time) {
+void SoakRun::RunFor(Duration time) {
   const TimePoint end = Clock::now() + time;
   while (Clock::now() < end) {
-    HealDue(Clock::now());
+    RecoverDue(Clock::now());
     fleet_.Tick(Clock::now());
-    TurnCold(Clock::now());
+    UpdateColdPhases(Clock::now());
     std::this_thread::sleep_for(kStep);
   }
 }
 
-void SoakRun::TurnCold(TimePoint now) {
-  returns_.Tick(now);
-  if (now >= next_return_) {
-    returns_.Begin(cold_random_() % 2 == 0 ? 1 : kColdPart, now);
-    next_return_ =
-        now + kShortestWarm + milliseconds(cold_random_() % kMoreWarmMs);
+void SoakRun::UpdateColdPhases(TimePoint now) {
+  cold_phases_.Tick(now);
+  if (now >= next_cold_phase_) {
+    cold_phases_.Begin(cold_random_() % 2 == 0 ? 1 : kColdFraction, now);
+    next_cold_phase_ =
+        now + kMinWarmTime + milliseconds(cold_random_() % kMaxExtraWarmMs);
   }
 }
 
@@ -243,29 +248,31 @@
   return plan;
 }
 
-void SoakRun::Trouble() {
-  const TimePoint end = Clock::now() + plan_.trouble;
+void SoakRun::InjectFaults() {
+  const TimePoint end = Clock::now() + plan_.fault_phase;
   while (Clock::now() < end) {
-    Begin();
-    Pass(milliseconds(Draw(kLongestGapMs)));
+    BeginRandomFault();
+    RunFor(milliseconds(Draw(kMaxGapMs)));
   }
 }
 
 void SoakRun::CheckVersionInForce() {
   const int old = fleet_.version();
   fleet_.PublishNextVersion();
-  Pass(kInForce);
+  RunFor(kChangeDeadline);
   for (int n = 0; n < fleet_.hosts(); ++n) {
     const std::string host = "h" + std::to_string(n);
-    const SocketAddress at = fleet_.DirectOf(n);
+    const SocketAddress at = fleet_.DirectAddress(n);
     if (StatusOf(at, "/v" + std::to_string(old + 1) + "/") != 200) {
-      ledger_.Violation(host + ": a new route is not served in time");
+      ledger_.AddViolation(host +
+                           ": new route not served within the time limit");
     }
     if (StatusOf(at, "/v" + std::to_string(old) + "/") != 404) {
-      ledger_.Violation(host + ": a removed route is not refused in time");
+      ledger_.AddViolation(
+          host + ": removed route not rejected within the time limit");
     }
-    if (StatusOf(fleet_.AdminOf(n), "/v1/readiness") != 200) {
-      ledger_.Violation(host + ": not ready in a calm");
+    if (StatusOf(fleet_.AdminAddress(n), "/v1/readiness") != 200) {
+      ledger_.AddViolation(host + ": not ready although no fault is active");
     }
   }
 }
@@ -273,22 +280,22 @@
 void SoakRun::CheckLeaving() {
   const int leaving = Draw(fleet_.endpoints());
   fleet_.Drain(leaving);
-  Pass(kInForce);
+  RunFor(kChangeDeadline);
   fleet_.endpoint(leaving).ForbidArrivals(true);
-  Pass(seconds(1));
+  RunFor(seconds(1));
   fleet_.endpoint(leaving).ForbidArrivals(false);
 }
 
 void SoakRun::CheckStatedLimit() {
   SoakEndpoint& endpoint = fleet_.endpoint(Draw(fleet_.endpoints()));
   endpoint.SetRateLimit(kRateLimit);
-  Pass(kUntilLimited);
+  RunFor(kLimitSettleTime);
   const int before = endpoint.arrivals();
-  Pass(kLimitedFor);
+  RunFor(kLimitObservationTime);
   const int arrivals = endpoint.arrivals() - before;
-  if (arrivals > kMostLimited) {
-    ledger_.Violation(endpoint.id() + ": stated a limit and got " +
-                      std::to_string(arrivals) + " requests");
+  if (arrivals > kMaxLimitedArrivals) {
+    ledger_.AddViolation(endpoint.id() + ": announced a rate limit, but got " +
+                         std::to_string(arrivals) + " requests");
   }
   endpoint.SetRateLimit(0);
 }
@@ -304,61 +311,63 @@
 void SoakRun::CheckDrainedZone() {
   const int zone = Draw(SoakFleet::kZones);
   fleet_.DrainZone(zone);
-  Pass(kInForce);
+  RunFor(kChangeDeadline);
   ForbidArrivals(zone, true);
-  Pass(seconds(1));
+  RunFor(seconds(1));
   ForbidArrivals(zone, false);
   fleet_.ReleaseZone(zone);
 }
 
 void SoakRun::CheckCrashing(int before) {
   if (fleet_.crashes() == 0) {
-    ledger_.Violation("no endpoint was crashed: the check shows nothing");
+    ledger_.AddViolation(
+        "no endpoint crashed, so the crash check has no meaning");
   }
   const int crashes = fleet_.crashes() - before;
-  if (crashes > kMostCrashes) {
-    ledger_.Violation("one request ended " + std::to_string(crashes) +
-                      " endpoints in a calm");
+  if (crashes > kMaxCrashes) {
+    ledger_.AddViolation("one request crashed " + std::to_string(crashes) +
+                         " endpoints after the fault phase");
   }
   for (int n = 0; n < fleet_.hosts(); ++n) {
-    if (StatusOf(fleet_.DirectOf(n), "/fragile/crash") != 503) {
-      ledger_.Violation("h" + std::to_string(n) +
-                        ": a request that crashes endpoints is not refused");
+    if (StatusOf(fleet_.DirectAddress(n), "/fragile/crash") != 503) {
+      ledger_.AddViolation("h" + std::to_string(n) +
+                           ": crashing request not rejected with 503");
     }
   }
 }
 
-void SoakRun::CheckCalm() {
-  HealAll();
-  // Stops that were under way end, and the last hosts start again.
+void SoakRun::WaitForRecovery() {
+  RecoverAll();
+  // Wait for pending stops and restarts.
   const TimePoint last = Clock::now() + seconds(15);
   while (!fleet_.AllRun() && Clock::now() < last) {
-    Pass(kStep);
+    RunFor(kStep);
   }
-  Pass(kUntilWell);
+  RunFor(kSettleTime);
 }
 
-SoakOutcome SoakRun::Play() {
+SoakOutcome SoakRun::Execute() {
   {
-    const ColdCallers cold_callers(fleet_.AllDirect(), ColdPlan());
+    const ColdCallers cold_callers(fleet_.AllDirectAddresses(), ColdPlan());
     SoakCallers callers(fleet_, ledger_, plan_.seed);
-    Pass(seconds(1));
-    Trouble();
-    CheckCalm();
-    callers.TakeCount();
+    RunFor(seconds(1));
+    InjectFaults();
+    WaitForRecovery();
+    callers.TakeCounts();
     const int crashes = fleet_.crashes();
     CheckVersionInForce();
     CheckStatedLimit();
     CheckLeaving();
     CheckDrainedZone();
     CheckCrashing(crashes);
-    const SoakCallers::Count calm = callers.TakeCount();
-    if (calm.served < kLeastServed * calm.asked) {
-      ledger_.Violation("only " + std::to_string(calm.served) + " of " +
-                        std::to_string(calm.asked) + " served in a calm");
+    const SoakCallers::CallCounts calm = callers.TakeCounts();
+    if (calm.served < kMinServedFraction * calm.sent) {
+      ledger_.AddViolation("only " + std::to_string(calm.served) + " of " +
+                           std::to_string(calm.sent) +
+                           " calls served after the fault phase");
     }
   }
-  returns_.WorstSeconds(ledger_);
+  cold_phases_.CheckPeakRates(ledger_);
   return {ledger_.calls(), ledger_.answered(200), faults_,
           ledger_.Violations()};
 }
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -17,8 +17,8 @@
 
 struct SoakPlan {
   std::uint64_t seed = 1;
-  // For how long faults begin; some overlap the end by their own length.
-  Duration trouble = std::chrono::seconds(6);
+  // Time during which faults are started; the last ones may end later.
+  Duration fault_phase = std::chrono::seconds(6);
   SoakSize size;
 };
 
@@ -29,46 +29,45 @@
   std::vector<std::string> violations;
 };
 
-// Plays one seed: faults at random moments on random things while callers
-// call, then a calm in which everything is healed and what the fleet promises
-// without trouble is checked.
+// Runs the soak test for one seed: injects random faults under load, then ends
+// all faults and checks the guarantees that hold for a fleet without faults.
 class SoakRun {
  public:
   explicit SoakRun(const SoakPlan& plan);
 
-  SoakOutcome Play();
+  SoakOutcome Execute();
 
  private:
-  struct Heal {
+  struct PendingRecovery {
     TimePoint due;
     std::function<void()> action;
   };
 
-  void Trouble();
-  void Begin();
+  void InjectFaults();
+  void BeginRandomFault();
   void BeginLinkFault();
   void BeginHostFault();
   void BeginStoreFault();
   void BeginEndpointFault();
-  void BeginEndpointWish(int n);
+  void BeginEndpointSignal(int n);
   void BeginZoneDrain();
-  void BeginChange();
-  // Endpoints become cold by a clock of their own, so that the other faults of
-  // a seed stay as they are.
-  void TurnCold(TimePoint now);
-  void HealAfter(std::function<void()> action);
-  void HealDue(TimePoint now);
-  void HealAll();
+  void PublishVersions();
+  // Makes endpoints cold. Uses its own random generator, so that it does not
+  // change the other faults of a seed.
+  void UpdateColdPhases(TimePoint now);
+  void RecoverLater(std::function<void()> action);
+  void RecoverDue(TimePoint now);
+  void RecoverAll();
   ColdCallersPlan ColdPlan() const;
-  // Lets time pass; ended hosts are started again meanwhile.
-  void Pass(Duration time);
-  void CheckCalm();
+  // Waits for `time`, ends the faults that are due and restarts exited hosts.
+  void RunFor(Duration time);
+  void WaitForRecovery();
   void CheckVersionInForce();
   void CheckLeaving();
   void CheckStatedLimit();
   void CheckDrainedZone();
   void ForbidArrivals(int zone, bool forbidden);
-  // `before` endpoints had ended when the calm began.
+  // `before` is the number of crashes at the end of the fault phase.
   void CheckCrashing(int before);
   int Draw(int below);
 
@@ -77,9 +76,9 @@
   SoakLedger ledger_;
   SoakFleet fleet_;
   std::mt19937_64 cold_random_;
-  ColdReturns returns_;
-  TimePoint next_return_;
-  std::vector<Heal> heals_;
+  ColdReturns cold_phases_;
+  TimePoint next_cold_phase_;
+  std::vector<PendingRecovery> pending_recoveries_;
   int faults_ = 0;
 };
 
--- a/tests/soak/test_soak.cc
+++ b/tests/soak/test_soak.cc
@@ -11,7 +11,7 @@
 
 void Check(const SoakPlan& plan) {
   CAPTURE(plan.seed);
-  const SoakOutcome outcome = SoakRun(plan).Play();
+  const SoakOutcome outcome = SoakRun(plan).Execute();
   std::cout << "seed " << plan.seed << ": " << outcome.faults << " faults, "
             << outcome.served << " of " << outcome.calls << " served, "
             << outcome.violations.size() << " violations" << std::endl;
@@ -21,15 +21,16 @@
   CHECK(outcome.violations.empty());
 }
 
-// Hosts are killed, stopped, paused and restarted, links fail, the store
-// refuses and forgets, endpoints drain and pass their addresses on, versions
-// follow each other, all at random and overlapping. Callers hold what they are
-// told against what ran, and each host against the versions that it has served.
+// Injects random, overlapping faults: hosts are killed, stopped, suspended and
+// restarted, links fail, the store rejects requests and drops its history,
+// endpoints drain and are replaced at the same address, and new configuration
+// versions are published. Checks the responses against the executed requests,
+// and that no host goes back to an older version.
 TEST_CASE("promises hold under random faults") {
   const int first = SoakSetting("DAMASKTACK_SOAK_FIRST", 1);
   const int last = SoakSetting("DAMASKTACK_SOAK_LAST", 2);
   SoakPlan plan;
-  plan.trouble =
+  plan.fault_phase =
       std::chrono::seconds(SoakSetting("DAMASKTACK_SOAK_SECONDS", 6));
   plan.size.hosts = SoakSetting("DAMASKTACK_SOAK_HOSTS", plan.size.hosts);
   for (int seed = first; seed <= last; ++seed) {
--- a/tests/soak/test_soak_ledger.cc
+++ b/tests/soak/test_soak_ledger.cc
@@ -5,34 +5,34 @@
 namespace damasktack {
 namespace {
 
-TEST_CASE("the ledger passes over what was kept") {
+TEST_CASE("the ledger reports no violation for correct responses") {
   SoakLedger ledger;
-  ledger.Sent("read", true);
-  ledger.Sent("write", false);
-  ledger.Sent("refused", false);
+  ledger.RecordSent("read", true);
+  ledger.RecordSent("write", false);
+  ledger.RecordSent("refused", false);
   for (const char* it : {"read", "read", "write"}) {
-    ledger.Arrived(it);
-    ledger.Ran(it);
+    ledger.RecordArrival(it);
+    ledger.RecordRun(it);
   }
-  ledger.Answered("read", 200);
-  ledger.Answered("write", 502);
-  ledger.Answered("refused", 503);
+  ledger.RecordAnswer("read", 200);
+  ledger.RecordAnswer("write", 502);
+  ledger.RecordAnswer("refused", 503);
   CHECK(ledger.Violations().empty());
 }
 
-TEST_CASE("the ledger names each broken promise") {
+TEST_CASE("the ledger reports each kind of violation") {
   SoakLedger ledger;
   for (const char* it : {"twice", "refused", "empty"}) {
-    ledger.Sent(it, false);
+    ledger.RecordSent(it, false);
   }
   for (const char* it : {"twice", "twice", "refused", "unsent"}) {
-    ledger.Ran(it);
+    ledger.RecordRun(it);
   }
-  ledger.Answered("refused", 503);
-  ledger.Answered("empty", 200);
-  ledger.Sent("often", true);
+  ledger.RecordAnswer("refused", 503);
+  ledger.RecordAnswer("empty", 200);
+  ledger.RecordSent("often", true);
   for (int n = 0; n < 100; ++n) {
-    ledger.Arrived("often");
+    ledger.RecordArrival("often");
   }
   CHECK(ledger.Violations().size() == 5);
 }
