--- a/bench/admission_bench.cc
+++ b/bench/admission_bench.cc
@@ -1,6 +1,6 @@
-// Decisions of admission at the sizes of Alentejo's mower dispatch (15 hosts,
-// 6 endpoints of 6 slots) and Cuyo's renewals (8 endpoints of 3). Prints the
-// tables of docs/measurements/admission.md.
+// Compares admission policies at the sizes of Alentejo's mower dispatch (15
+// hosts, 6 endpoints with 6 slots each) and Cuyo's renewals (8 endpoints with 3
+// slots each). Prints the tables of docs/measurements/admission.md.
 
 #include <algorithm>
 #include <cstdio>
@@ -19,8 +19,8 @@
 
 constexpr int kSeeds = 3;
 
-// Sizes of one service; hosts are 15 everywhere.
-struct Site {
+// Size of one service. All deployments have 15 hosts.
+struct Deployment {
   const char* name;
   int endpoints = 6;
   int slots = 6;
@@ -28,16 +28,16 @@
   Duration zone_distance = milliseconds(1);
 };
 
-constexpr Site kDispatch{"mower dispatch"};
-constexpr Site kRenewals{"Cuyo renewals", 8, 3, 4,
-                         std::chrono::microseconds(1500)};
+constexpr Deployment kDispatch{"mower dispatch"};
+constexpr Deployment kRenewals{"Cuyo renewals", 8, 3, 4,
+                               std::chrono::microseconds(1500)};
 
-// A way to admit calls, for comparison.
+// Admission policy under comparison.
 struct Variant {
   const char* name;
   BalancerOptions options;
-  // Ignores urgency and share, as a plain first-come balancer would.
-  bool flat = false;
+  // Ignores urgency and share, like a first-come, first-served balancer.
+  bool ignores_priority = false;
 };
 
 BalancerOptions WithoutReservation(double max_load) {
@@ -64,18 +64,18 @@
   return {"report", 1, Urgency::kBulk, milliseconds(60), load, seconds(10)};
 }
 
-std::vector<SourceFigures> RunOne(const Site& site,
+std::vector<SourceFigures> RunOne(const Deployment& deployment,
                                   const Variant& variant,
                                   std::vector<TrafficSource> sources,
                                   std::uint64_t seed) {
   AdmissionSetup setup;
-  setup.endpoints = site.endpoints;
-  setup.slots = site.slots;
-  setup.zones = site.zones;
-  setup.zone_distance = site.zone_distance;
+  setup.endpoints = deployment.endpoints;
+  setup.slots = deployment.slots;
+  setup.zones = deployment.zones;
+  setup.zone_distance = deployment.zone_distance;
   setup.balancer = variant.options;
   setup.seed = seed;
-  if (variant.flat) {
+  if (variant.ignores_priority) {
     for (TrafficSource& it : sources) {
       it.urgency = Urgency::kNormal;
       it.customer = "all";
@@ -86,13 +86,13 @@
   return AdmissionSimulation(setup).Run();
 }
 
-// Sums over all seeds.
-std::vector<SourceFigures> Run(const Site& site,
+// Returns the results summed over all seeds.
+std::vector<SourceFigures> Run(const Deployment& deployment,
                                const Variant& variant,
                                const std::vector<TrafficSource>& sources) {
   std::vector<SourceFigures> sum(sources.size());
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    const auto figures = RunOne(site, variant, sources, seed);
+    const auto figures = RunOne(deployment, variant, sources, seed);
     for (std::size_t n = 0; n < sum.size(); ++n) {
       sum[n].offered += figures[n].offered;
       sum[n].answered += figures[n].answered;
@@ -115,27 +115,30 @@
   return whole == 0 ? 0 : 100 * part / whole;
 }
 
-// Urgent calls beside a report burst against without it.
-void PrintBurst(const Site& site) {
-  std::printf("\n## Urgent calls beside a bulk report: %s\n\n", site.name);
+// Compares the latency of urgent calls with and without a bulk report.
+void PrintBurst(const Deployment& deployment) {
+  std::printf("\n## Urgent calls beside a bulk report: %s\n\n",
+              deployment.name);
   std::puts(
-      "Urgent calls take 11% and normal ones 44% of the slots, the report is "
-      "on top.");
-  std::puts("Times in ms; the factor is p99 with the report by p99 without.\n");
+      "Urgent calls use 11% and normal calls 44% of the slots, in addition to "
+      "the report.");
   std::puts(
-      "| way | report offered | urgent p50 | urgent p99 | urgent p99.9 |"
+      "Times in ms; the factor is p99 with the report divided by p99 without "
+      "it.\n");
+  std::puts(
+      "| policy | report offered | urgent p50 | urgent p99 | urgent p99.9 |"
       " factor | normal p99 | urgent not answered % | report answered % |");
   std::puts("|---|---|---|---|---|---|---|---|---|");
   for (const Variant& variant : Variants()) {
-    double without = 0;
+    double p99_without_report = 0;
     for (const double report : {0.0, 0.30, 1.0}) {
       auto sources = Foreground(0.55);
       if (report > 0) {
         sources.push_back(Report(report));
       }
-      auto figures = Run(site, variant, sources);
+      auto figures = Run(deployment, variant, sources);
       const double p99 = Milliseconds(figures[0].Quantile(0.99));
-      without = report == 0 ? p99 : without;
+      p99_without_report = report == 0 ? p99 : p99_without_report;
       const double answered =
           report == 0 ? 0
                       : Percent(static_cast<double>(figures[2].answered),
@@ -144,8 +147,8 @@
           "| %s | %.0f%% | %.1f | %.1f | %.1f | %.2f | %.1f | %.2f |"
           " %.0f |\n",
           variant.name, 100 * report, Milliseconds(figures[0].Quantile(0.5)),
-          p99, Milliseconds(figures[0].Quantile(0.999)), p99 / without,
-          Milliseconds(figures[1].Quantile(0.99)),
+          p99, Milliseconds(figures[0].Quantile(0.999)),
+          p99 / p99_without_report, Milliseconds(figures[1].Quantile(0.99)),
           Percent(static_cast<double>(figures[0].offered - figures[0].answered),
                   static_cast<double>(figures[0].offered)),
           answered);
@@ -153,16 +156,16 @@
   }
 }
 
-// Weighted max-min: what each source ought to get of `capacity`.
-std::vector<double> FairParts(const std::vector<TrafficSource>& sources,
-                              const std::vector<double>& demands,
-                              double capacity) {
+// Returns the weighted max-min fair share of `capacity` for each source.
+std::vector<double> MaxMinFairShares(const std::vector<TrafficSource>& sources,
+                                     const std::vector<double>& demands,
+                                     double capacity) {
   std::vector<double> parts(sources.size());
-  std::vector<bool> settled(sources.size());
+  std::vector<bool> is_satisfied(sources.size());
   while (true) {
     double shares = 0;
     for (std::size_t n = 0; n < sources.size(); ++n) {
-      shares += settled[n] ? 0 : static_cast<double>(sources[n].share);
+      shares += is_satisfied[n] ? 0 : static_cast<double>(sources[n].share);
     }
     if (shares == 0) {
       return parts;
@@ -171,10 +174,10 @@
     bool found = false;
     for (std::size_t n = 0; n < sources.size(); ++n) {
       const double fair = each * static_cast<double>(sources[n].share);
-      if (!settled[n] && demands[n] <= fair) {
+      if (!is_satisfied[n] && demands[n] <= fair) {
         parts[n] = demands[n];
         capacity -= demands[n];
-        settled[n] = true;
+        is_satisfied[n] = true;
         found = true;
         break;
       }
@@ -183,7 +186,7 @@
       continue;
     }
     for (std::size_t n = 0; n < sources.size(); ++n) {
-      if (!settled[n]) {
+      if (!is_satisfied[n]) {
         parts[n] = each * static_cast<double>(sources[n].share);
       }
     }
@@ -193,10 +196,11 @@
 
 void PrintShares() {
   std::puts("\n## Shares under 110% load\n");
-  std::puts("Customers of one urgency; what each got of the slot time against");
-  std::puts("its weighted max-min part of what was served.\n");
   std::puts(
-      "| way | customer | share | service time | offered % | got % |"
+      "Customers of the same urgency; slot time that each received, compared");
+  std::puts("with its weighted max-min fair share of the slot time served.\n");
+  std::puts(
+      "| policy | customer | share | service time | offered % | got % |"
       " fair % | error % |");
   std::puts("|---|---|---|---|---|---|---|---|");
   const std::vector<TrafficSource> sources = {
@@ -214,20 +218,22 @@
       offered += sources[n].load;
       served += Milliseconds(figures[n].slot_time);
     }
-    // Offered load in units of what was served.
-    double fed = 0;
+    // Total offered service time, which converts service time to load.
+    double offered_time = 0;
     for (std::size_t n = 0; n < sources.size(); ++n) {
-      fed += Milliseconds(sources[n].mean_service_time) *
-             static_cast<double>(figures[n].offered);
+      offered_time += Milliseconds(sources[n].mean_service_time) *
+                      static_cast<double>(figures[n].offered);
     }
     for (std::size_t n = 0; n < sources.size(); ++n) {
       demands[n] = Milliseconds(sources[n].mean_service_time) *
-                   static_cast<double>(figures[n].offered) / fed * offered;
+                   static_cast<double>(figures[n].offered) / offered_time *
+                   offered;
     }
-    const double capacity = served / fed * offered;
-    const auto fair = FairParts(sources, demands, capacity);
+    const double capacity = served / offered_time * offered;
+    const auto fair = MaxMinFairShares(sources, demands, capacity);
     for (std::size_t n = 0; n < sources.size(); ++n) {
-      const double got = Milliseconds(figures[n].slot_time) / fed * offered;
+      const double got =
+          Milliseconds(figures[n].slot_time) / offered_time * offered;
       std::printf("| %s | %s | %d | %.0f ms | %.1f | %.1f | %.1f | %+.1f |\n",
                   variant.name, sources[n].customer.c_str(),
                   static_cast<int>(sources[n].share),
@@ -237,11 +243,11 @@
   }
 }
 
-void PrintFloor() {
+void PrintBulkFloor() {
   std::puts("\n## Floor for bulk beside 110% of more urgent calls\n");
   std::puts(
-      "| way | dock p99 ms | dock answered % | offices answered % |"
-      " bulk part of slot time % | longest bulk answer ms |");
+      "| policy | dock p99 ms | dock answered % | offices answered % |"
+      " bulk share of slot time % | longest bulk latency ms |");
   std::puts("|---|---|---|---|---|---|");
   for (const Variant& variant : Variants()) {
     auto sources = Foreground(1.10);
@@ -263,8 +269,8 @@
   }
 }
 
-// Offers and finishes calls one after the other beside `waiting` calls of 50
-// customers that find no room.
+// Returns the mean time to offer and finish one call while `waiting` calls of
+// 50 customers wait for a free slot.
 Duration DecisionTime(int endpoints, int waiting) {
   constexpr int kRounds = 200'000;
   constexpr TimePoint kNow{std::chrono::hours(1)};
@@ -283,7 +289,7 @@
   offer.deadline = kNow + std::chrono::hours(1);
   std::deque<Dispatch> sent;
   std::vector<CallOffer> offers;
-  // Fills every slot first where calls are to wait.
+  // Occupy all slots first if calls are to wait.
   const int fill = waiting == 0 ? 0 : endpoints * 6 + waiting;
   for (int n = 0; n < fill + kRounds; ++n) {
     offer.token = static_cast<CallToken>(n);
@@ -313,10 +319,11 @@
 }
 
 void PrintDecisionTime() {
-  std::puts("\n## Time of the decisions for one call\n");
-  std::puts("Offer and Finish together, one thread, choice of endpoint in it;");
+  std::puts("\n## Decision time for one call\n");
+  std::puts(
+      "Offer and Finish on one thread, including the choice of the endpoint;");
   std::puts(
-      "this one is by the clock and differs between machines and runs.\n");
+      "measured in real time, so it differs between machines and runs.\n");
   std::puts("| endpoints | waiting calls | us |");
   std::puts("|---|---|---|");
   for (const int endpoints : {6, 15}) {
@@ -335,6 +342,6 @@
   damasktack::PrintBurst(damasktack::kDispatch);
   damasktack::PrintBurst(damasktack::kRenewals);
   damasktack::PrintShares();
-  damasktack::PrintFloor();
+  damasktack::PrintBulkFloor();
   damasktack::PrintDecisionTime();
 }
--- a/bench/admission_retry_bench.cc
+++ b/bench/admission_retry_bench.cc
@@ -1,5 +1,6 @@
-// Sends that reach a failing service at the end of a chain of ten hops, each
-// hop with its own balancer. Prints a table of docs/measurements/admission.md.
+// Measures retry amplification: the number of requests that reach a failing
+// service behind a chain of ten hops, each with its own balancer. Prints a
+// table of docs/measurements/admission.md.
 
 #include <cstdio>
 #include <vector>
@@ -12,14 +13,14 @@
 using std::chrono::milliseconds;
 
 constexpr int kDepth = 10;
-constexpr int kNaiveTries = 3;
+constexpr int kNaiveAttempts = 3;
 
-// What the services between the hops pass on.
-struct Passing {
+// Headers that the services between the hops forward.
+struct Forwarding {
   const char* name;
-  // Damasktack-Attempt of the request.
+  // Damasktack-Attempt request header.
   bool attempt = false;
-  // Damasktack-Outcome of the answer.
+  // Damasktack-Outcome response header.
   bool outcome = false;
 };
 
@@ -30,8 +31,8 @@
 
 class Chain {
  public:
-  Chain(Passing passing, double failing)
-      : passing_(passing), failing_(failing) {
+  Chain(Forwarding forwarding, double failure_rate)
+      : forwarding_(forwarding), failure_rate_(failure_rate) {
     ServiceSpec service;
     for (int n = 0; n < 6; ++n) {
       EndpointSpec spec;
@@ -54,7 +55,7 @@
     }
   }
 
-  // Sends to the last service.
+  // Number of requests sent to the last service.
   double last_sends() const { return static_cast<double>(last_sends_); }
 
  private:
@@ -71,11 +72,11 @@
     balancer.Offer(offer, now_, out);
     Answer answer;
     for (int sends = 1;; ++sends) {
-      const auto endpoint = Await(balancer, out);
+      const auto endpoint = AwaitDispatch(balancer, out);
       if (!endpoint) {
-        return {SendResult::kFailed, passing_.outcome};
+        return {SendResult::kFailed, forwarding_.outcome};
       }
-      answer = Send(hop, is_repeat || (passing_.attempt && sends > 1));
+      answer = Send(hop, is_repeat || (forwarding_.attempt && sends > 1));
       SendEnd end;
       end.token = offer.token;
       end.endpoint = *endpoint;
@@ -84,14 +85,14 @@
       end.retried_downstream = answer.has_outcome;
       end.sends = sends;
       if (balancer.Finish(offer, end, now_, out) == AfterSend::kDone) {
-        answer.has_outcome = passing_.outcome;
+        answer.has_outcome = forwarding_.outcome;
         return answer;
       }
     }
   }
 
-  std::optional<EndpointIndex> Await(ServiceBalancer& balancer,
-                                     Decisions& out) {
+  std::optional<EndpointIndex> AwaitDispatch(ServiceBalancer& balancer,
+                                             Decisions& out) {
     while (out.dispatches.empty() && out.rejections.empty()) {
       now_ += milliseconds(2);
       balancer.Tick(now_, out);
@@ -109,12 +110,12 @@
       return Call(hop + 1, is_repeat);
     }
     ++last_sends_;
-    const bool fails = UniformBelow(random_, 1000) < failing_ * 1000;
+    const bool fails = UniformBelow(random_, 1000) < failure_rate_ * 1000;
     return {fails ? SendResult::kFailed : SendResult::kAnswered, false};
   }
 
-  const Passing passing_;
-  const double failing_;
+  const Forwarding forwarding_;
+  const double failure_rate_;
   Random random_{1};
   TimePoint now_{std::chrono::hours(1)};
   CallToken token_ = 0;
@@ -122,17 +123,21 @@
   std::uint64_t last_sends_ = 0;
 };
 
-// Each hop tries three times, with nothing to hold it back.
-bool NaiveCall(int hop, double failing, Random& random, std::uint64_t& sends) {
-  for (int n = 0; n < kNaiveTries; ++n) {
+// Sends a call for which each hop makes up to three attempts without a retry
+// budget.
+bool NaiveCall(int hop,
+               double failure_rate,
+               Random& random,
+               std::uint64_t& sends) {
+  for (int n = 0; n < kNaiveAttempts; ++n) {
     if (hop < kDepth) {
-      if (NaiveCall(hop + 1, failing, random, sends)) {
+      if (NaiveCall(hop + 1, failure_rate, random, sends)) {
         return true;
       }
       continue;
     }
     ++sends;
-    if (UniformBelow(random, 1000) >= failing * 1000) {
+    if (UniformBelow(random, 1000) >= failure_rate * 1000) {
       return true;
     }
   }
@@ -143,28 +148,28 @@
   constexpr int kCalls = 20'000;
   constexpr int kNaiveCalls = 20;
   std::puts("\n## Sends to a failing service behind ten hops\n");
-  std::puts("Sends that reach the last service for each call that enters the");
+  std::puts("Requests that reach the last service per call that enters the");
   std::puts("first; idempotent calls, 1,000 a second, retry_percent 10.\n");
-  std::puts("| way | 1% fail | 10% fail | 50% fail | all fail |");
+  std::puts("| policy | 1% fail | 10% fail | 50% fail | all fail |");
   std::puts("|---|---|---|---|---|");
-  std::printf("| three tries at each hop |");
-  for (const double failing : {0.01, 0.1, 0.5, 1.0}) {
+  std::printf("| three attempts at each hop |");
+  for (const double failure_rate : {0.01, 0.1, 0.5, 1.0}) {
     Random random(1);
     std::uint64_t sends = 0;
-    const int calls = failing < 1 ? kCalls : kNaiveCalls;
+    const int calls = failure_rate < 1 ? kCalls : kNaiveCalls;
     for (int n = 0; n < calls; ++n) {
-      NaiveCall(1, failing, random, sends);
+      NaiveCall(1, failure_rate, random, sends);
     }
     std::printf(" %.3f |", static_cast<double>(sends) / calls);
   }
   std::puts("");
-  for (const Passing& passing :
-       {Passing{"budget alone", false, false},
-        Passing{"and services pass on the attempt", true, false},
-        Passing{"and the outcome of answers", true, true}}) {
-    std::printf("| %s |", passing.name);
-    for (const double failing : {0.01, 0.1, 0.5, 1.0}) {
-      Chain chain(passing, failing);
+  for (const Forwarding& forwarding :
+       {Forwarding{"retry budget only", false, false},
+        Forwarding{"and services forward the attempt", true, false},
+        Forwarding{"and the outcome of responses", true, true}}) {
+    std::printf("| %s |", forwarding.name);
+    for (const double failure_rate : {0.01, 0.1, 0.5, 1.0}) {
+      Chain chain(forwarding, failure_rate);
       chain.Run(kCalls);
       std::printf(" %.3f |", chain.last_sends() / kCalls);
     }
--- a/bench/admission_simulation.cc
+++ b/bench/admission_simulation.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Duration kWithinZone = std::chrono::microseconds(200);
+constexpr Duration kSameZoneLatency = std::chrono::microseconds(200);
 constexpr Duration kTick = std::chrono::milliseconds(2);
 constexpr Duration kWarmUp = std::chrono::seconds(3);
 constexpr std::size_t kEndpointQueue = 64;
@@ -43,12 +43,12 @@
 
 }  // namespace
 
-Duration SourceFigures::Quantile(double part) {
+Duration SourceFigures::Quantile(double quantile) {
   if (latencies.empty()) {
     return Duration::zero();
   }
   const auto n = static_cast<std::ptrdiff_t>(
-      part * static_cast<double>(latencies.size() - 1));
+      quantile * static_cast<double>(latencies.size() - 1));
   std::nth_element(latencies.begin(), latencies.begin() + n, latencies.end());
   return latencies[static_cast<std::size_t>(n)];
 }
@@ -84,7 +84,7 @@
 }
 
 void AdmissionSimulation::Push(Event event) {
-  event.order = pushed_++;
+  event.order = next_event_order_++;
   events_.push(event);
 }
 
@@ -92,32 +92,33 @@
   switch (event.kind) {
     case Kind::kArrival:
       return OnArrival(event.call);
-    case Kind::kReach:
-      return OnReach(event);
-    case Kind::kServed:
-      return OnServed(event);
+    case Kind::kRequestArrived:
+      return OnRequestArrived(event);
+    case Kind::kServiceDone:
+      return OnServiceDone(event);
     case Kind::kAnswer:
       return OnAnswer(event);
     case Kind::kTick:
       return OnTick(event.host);
     case Kind::kProbe:
       return Push({.at = now_ + Distance(event.host, event.endpoint),
-                   .kind = Kind::kLoad,
+                   .kind = Kind::kReportArrived,
                    .host = event.host,
                    .endpoint = event.endpoint,
                    .report = ReportOf(event.endpoint)});
-    case Kind::kLoad: {
+    case Kind::kReportArrived: {
       EndpointReport report = event.report;
       report.received_at = ToTime(now_);
       hosts_[event.host].Report(static_cast<EndpointIndex>(event.endpoint),
                                 report, ToTime(now_), decisions_);
-      return CarryOut(event.host);
+      return ApplyDecisions(event.host);
     }
   }
 }
 
 SourceFigures* AdmissionSimulation::FiguresOf(const Call& call) {
-  // Calls that arrive too late to end within the run would look refused.
+  // Calls that can't end before the end of the run would be counted as offered
+  // but not answered, so they are left out.
   const Duration last = setup_.length - setup_.sources[call.source].deadline;
   const bool measured = call.arrived >= kWarmUp && call.arrived < last;
   return measured ? &figures_[call.source] : nullptr;
@@ -146,17 +147,17 @@
     ++figures->offered;
   }
   hosts_[call.host].Offer(call.offer, ToTime(now_), decisions_);
-  CarryOut(call.host);
+  ApplyDecisions(call.host);
 }
 
-void AdmissionSimulation::CarryOut(std::size_t host) {
+void AdmissionSimulation::ApplyDecisions(std::size_t host) {
   for (const Dispatch& it : decisions_.dispatches) {
     Call& call = calls_[it.token];
     call.endpoint = it.endpoint;
     call.sent = now_;
     ++call.sends;
     Push({.at = now_ + Distance(host, it.endpoint),
-          .kind = Kind::kReach,
+          .kind = Kind::kRequestArrived,
           .host = host,
           .endpoint = it.endpoint,
           .call = it.token});
@@ -169,39 +170,39 @@
   decisions_.clear();
 }
 
-void AdmissionSimulation::OnReach(const Event& event) {
+void AdmissionSimulation::OnRequestArrived(const Event& event) {
   Server& server = servers_[event.endpoint];
   if (server.busy < setup_.slots) {
-    return Start(event.endpoint, event.call);
+    return StartService(event.endpoint, event.call);
   }
   if (server.queue.size() >= kEndpointQueue) {
-    return SendBack(event.endpoint, event.call, SendResult::kShed);
+    return SendResponse(event.endpoint, event.call, SendResult::kShed);
   }
   server.queue.push_back(event.call);
 }
 
-void AdmissionSimulation::Start(std::size_t server, std::size_t call) {
+void AdmissionSimulation::StartService(std::size_t server, std::size_t call) {
   ++servers_[server].busy;
   Push({.at = now_ + calls_[call].service,
-        .kind = Kind::kServed,
+        .kind = Kind::kServiceDone,
         .endpoint = server,
         .call = call});
 }
 
-void AdmissionSimulation::OnServed(const Event& event) {
+void AdmissionSimulation::OnServiceDone(const Event& event) {
   Server& server = servers_[event.endpoint];
   --server.busy;
   if (!server.queue.empty()) {
     const std::size_t next = server.queue.front();
     server.queue.pop_front();
-    Start(event.endpoint, next);
+    StartService(event.endpoint, next);
   }
-  SendBack(event.endpoint, event.call, SendResult::kAnswered);
+  SendResponse(event.endpoint, event.call, SendResult::kAnswered);
 }
 
-void AdmissionSimulation::SendBack(std::size_t server,
-                                   std::size_t call,
-                                   SendResult result) {
+void AdmissionSimulation::SendResponse(std::size_t server,
+                                       std::size_t call,
+                                       SendResult result) {
   Call& it = calls_[call];
   it.result = result;
   Push({.at = now_ + Distance(it.host, server),
@@ -232,13 +233,13 @@
   } else if (figures != nullptr && after == AfterSend::kDone) {
     ++figures->failed;
   }
-  CarryOut(event.host);
+  ApplyDecisions(event.host);
 }
 
 void AdmissionSimulation::OnTick(std::size_t host) {
   Push({.at = now_ + kTick, .kind = Kind::kTick, .host = host});
   hosts_[host].Tick(ToTime(now_), decisions_);
-  CarryOut(host);
+  ApplyDecisions(host);
   while (const auto endpoint = hosts_[host].NextProbe(ToTime(now_))) {
     Push({.at = now_ + Distance(host, *endpoint),
           .kind = Kind::kProbe,
@@ -258,7 +259,8 @@
 Duration AdmissionSimulation::Distance(std::size_t host,
                                        std::size_t server) const {
   const auto zones = static_cast<std::size_t>(setup_.zones);
-  return host % zones == server % zones ? kWithinZone : setup_.zone_distance;
+  return host % zones == server % zones ? kSameZoneLatency
+                                        : setup_.zone_distance;
 }
 
 }  // namespace damasktack
--- a/bench/admission_simulation.h
+++ b/bench/admission_simulation.h
@@ -13,13 +13,13 @@
 
 namespace damasktack {
 
-// Calls of one customer and urgency, arriving at random over all hosts.
+// Poisson stream of calls of one customer and urgency, spread over all hosts.
 struct TrafficSource {
   std::string customer;
   std::int64_t share = 1;
   Urgency urgency = Urgency::kNormal;
   Duration mean_service_time = std::chrono::milliseconds(10);
-  // Part of all slots that its calls would take.
+  // Offered load as a fraction of all slots.
   double load = 0.1;
   Duration deadline = std::chrono::seconds(2);
 };
@@ -37,29 +37,37 @@
   std::uint64_t seed = 1;
 };
 
-// Of the calls that arrived after the warm-up.
+// Results of one source, for the calls that arrived after the warm-up.
 struct SourceFigures {
   std::uint64_t offered = 0;
   std::uint64_t answered = 0;
   std::uint64_t refused = 0;
   std::uint64_t failed = 0;
-  // Slot time that answered calls took.
+  // Total service time of the answered calls.
   Duration slot_time{};
   std::vector<Duration> latencies;
 
-  Duration Quantile(double part);
+  Duration Quantile(double quantile);
 };
 
-// Hosts with one balancer each and endpoints that serve in order of arrival,
-// in one queue of events.
+// Discrete-event simulation of hosts, each with its own balancer, and of
+// endpoints that serve calls in order of arrival.
 class AdmissionSimulation {
  public:
   explicit AdmissionSimulation(const AdmissionSetup& setup);
-  // One for each source.
+  // Returns the results in the order of the sources.
   std::vector<SourceFigures> Run();
 
  private:
-  enum class Kind { kArrival, kReach, kServed, kAnswer, kTick, kProbe, kLoad };
+  enum class Kind {
+    kArrival,
+    kRequestArrived,
+    kServiceDone,
+    kAnswer,
+    kTick,
+    kProbe,
+    kReportArrived
+  };
   struct Event {
     Duration at{};
     std::uint64_t order = 0;
@@ -93,13 +101,13 @@
   void Push(Event event);
   void Handle(const Event& event);
   void OnArrival(std::size_t source);
-  void OnReach(const Event& event);
-  void OnServed(const Event& event);
+  void OnRequestArrived(const Event& event);
+  void OnServiceDone(const Event& event);
   void OnAnswer(const Event& event);
   void OnTick(std::size_t host);
-  void Start(std::size_t server, std::size_t call);
-  void SendBack(std::size_t server, std::size_t call, SendResult result);
-  void CarryOut(std::size_t host);
+  void StartService(std::size_t server, std::size_t call);
+  void SendResponse(std::size_t server, std::size_t call, SendResult result);
+  void ApplyDecisions(std::size_t host);
   EndpointReport ReportOf(std::size_t server) const;
   Duration Distance(std::size_t host, std::size_t server) const;
   SourceFigures* FiguresOf(const Call& call);
@@ -107,7 +115,7 @@
   const AdmissionSetup setup_;
   Random random_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
-  std::uint64_t pushed_ = 0;
+  std::uint64_t next_event_order_ = 0;
   Duration now_{};
   std::vector<ServiceBalancer> hosts_;
   std::vector<Server> servers_;
--- a/bench/decision_bench.cc
+++ b/bench/decision_bench.cc
@@ -1,6 +1,6 @@
-// Drives the endpoint table with each picker against simulated endpoints and
-// prints one line of CSV for each run and class. Arguments: any of the suites
-// named in kSuites; none runs all.
+// Runs the endpoint table with each picker against simulated endpoints and
+// prints one CSV line per run and class. The arguments name suites of kSuites;
+// without arguments all suites run.
 #include <array>
 #include <atomic>
 #include <cstdio>
@@ -17,7 +17,7 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-struct Place {
+struct Deployment {
   std::string_view name;
   int endpoints;
   int slots;
@@ -25,7 +25,7 @@
   Duration zone_distance;
 };
 
-constexpr std::array<Place, 6> kPlaces = {{
+constexpr std::array<Deployment, 6> kDeployments = {{
     {"alentejo-dashboard", 15, 6, 3, milliseconds(1)},
     {"alentejo-dispatch", 6, 6, 3, milliseconds(1)},
     {"alentejo-history", 13, 6, 3, milliseconds(1)},
@@ -37,20 +37,20 @@
 constexpr double kProbesPerSecond = 20;
 
 struct Run {
-  Place place;
+  Deployment deployment;
   std::string scenario;
   SimulationOptions options;
   SimulationFigures figures;
 };
 
-SimulationOptions OptionsFor(const Place& place,
+SimulationOptions OptionsFor(const Deployment& deployment,
                              std::string_view picker,
                              double load) {
   SimulationOptions options;
-  options.endpoints = place.endpoints;
-  options.slots = place.slots;
-  options.zones = place.zones;
-  options.zone_distance = place.zone_distance;
+  options.endpoints = deployment.endpoints;
+  options.slots = deployment.slots;
+  options.zones = deployment.zones;
+  options.zone_distance = deployment.zone_distance;
   options.picker = picker;
   options.load = load;
   options.probes_per_second = kProbesPerSecond;
@@ -58,22 +58,24 @@
 }
 
 void AddLoads(std::vector<Run>& runs) {
-  for (const Place& place : kPlaces) {
+  for (const Deployment& deployment : kDeployments) {
     for (const std::string_view picker : PickerNames()) {
       for (const double load : kLoads) {
-        runs.push_back({place, "steady", OptionsFor(place, picker, load), {}});
+        runs.push_back(
+            {deployment, "steady", OptionsFor(deployment, picker, load), {}});
       }
     }
   }
 }
 
-// The two places that differ most, at 85%.
-void AddForTwoPlaces(std::vector<Run>& runs,
-                     const std::string& scenario,
-                     const std::function<void(SimulationOptions&)>& change) {
-  for (const Place& place : {kPlaces[0], kPlaces[3]}) {
+// Adds runs for the two deployments that differ most, at 85% load.
+void AddForTwoDeployments(
+    std::vector<Run>& runs,
+    const std::string& scenario,
+    const std::function<void(SimulationOptions&)>& change) {
+  for (const Deployment& deployment : {kDeployments[0], kDeployments[3]}) {
     for (const std::string_view picker : PickerNames()) {
-      Run run{place, scenario, OptionsFor(place, picker, 0.85), {}};
+      Run run{deployment, scenario, OptionsFor(deployment, picker, 0.85), {}};
       change(run.options);
       runs.push_back(run);
     }
@@ -82,7 +84,7 @@
 
 void AddReportAges(std::vector<Run>& runs) {
   for (const int age : {5, 50, 500}) {
-    AddForTwoPlaces(
+    AddForTwoDeployments(
         runs, "report-" + std::to_string(age) + "ms",
         [=](SimulationOptions& it) { it.report_period = milliseconds(age); });
   }
@@ -96,22 +98,22 @@
       {"frozen-report", SimulatedFault::kFrozenReport},
   }};
   for (const auto& [name, fault] : faults) {
-    AddForTwoPlaces(runs, name,
-                    [=](SimulationOptions& it) { it.fault = fault; });
+    AddForTwoDeployments(runs, name,
+                         [=](SimulationOptions& it) { it.fault = fault; });
   }
 }
 
 void AddProbes(std::vector<Run>& runs) {
-  for (const Place& place : kPlaces) {
+  for (const Deployment& deployment : kDeployments) {
     for (const int per_call : {0, 1, 3}) {
       for (const double budget : {0.0, 20.0}) {
         if (per_call > 0 && budget > 0) {
           continue;
         }
-        Run run{place,
+        Run run{deployment,
                 "probes-" + std::to_string(per_call) + "-by-call-" +
                     std::to_string(static_cast<int>(budget)) + "-a-second",
-                OptionsFor(place, ChosenPicker::kName, 0.85),
+                OptionsFor(deployment, ChosenPicker::kName, 0.85),
                 {}};
         run.options.probes_per_call = per_call;
         run.options.probes_per_second = budget;
@@ -141,7 +143,7 @@
     ClassFigures& it = run.figures.classes[n];
     std::printf(
         "%s,%s,%s,%.0f,%s,%llu,%llu,%llu,%.2f,%.2f,%.2f,%.4f,%llu,%.1f\n",
-        std::string(run.place.name).c_str(), run.scenario.c_str(),
+        std::string(run.deployment.name).c_str(), run.scenario.c_str(),
         std::string(run.options.picker).c_str(), run.options.load * 100,
         std::string(ToString(static_cast<Urgency>(n))).c_str(),
         static_cast<unsigned long long>(it.calls),
@@ -155,7 +157,7 @@
   }
 }
 
-// Runs are independent of each other; a few threads share them.
+// Executes the runs, which are independent of each other, on several threads.
 void RunAll(std::vector<Run>& runs) {
   constexpr int kThreads = 4;
   std::atomic<std::size_t> next = 0;
@@ -172,7 +174,7 @@
   }
 }
 
-bool IsWanted(std::string_view suite, int argc, char** argv) {
+bool IsSelected(std::string_view suite, int argc, char** argv) {
   for (int n = 1; n < argc; ++n) {
     if (suite == argv[n]) {
       return true;
@@ -187,7 +189,7 @@
 int main(int argc, char** argv) {
   std::vector<damasktack::Run> runs;
   for (const damasktack::Suite& it : damasktack::kSuites) {
-    if (damasktack::IsWanted(it.name, argc, argv)) {
+    if (damasktack::IsSelected(it.name, argc, argv)) {
       it.add(runs);
     }
   }
--- a/bench/decision_simulation.cc
+++ b/bench/decision_simulation.cc
@@ -9,21 +9,21 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-constexpr Duration kWithinZone = microseconds(200);
+constexpr Duration kSameZoneLatency = microseconds(200);
 constexpr Duration kTick = milliseconds(2);
 constexpr Duration kDeadline = milliseconds(1000);
 constexpr Duration kWarmUp = std::chrono::seconds(1);
-constexpr Duration kSlowFor = std::chrono::seconds(2);
-constexpr Duration kFastError = microseconds(100);
-constexpr double kSlowdown = 10;
+constexpr Duration kSlowdownTime = std::chrono::seconds(2);
+constexpr Duration kFastErrorLatency = microseconds(100);
+constexpr double kSlowdownFactor = 10;
 constexpr std::size_t kEndpointQueue = 64;
 
-// Each class's part of the calls and mean execution time.
+// Fraction of the calls and mean service time of each class.
 struct ClassMix {
-  double part;
+  double fraction;
   Duration mean;
 };
-constexpr std::array<ClassMix, kUrgencyCount> kMix = {{
+constexpr std::array<ClassMix, kUrgencyCount> kClassMix = {{
     {0.2, milliseconds(4)},
     {0.6, milliseconds(4)},
     {0.2, milliseconds(20)},
@@ -31,8 +31,8 @@
 
 double MeanSeconds() {
   double sum = 0;
-  for (const ClassMix& it : kMix) {
-    sum += it.part * std::chrono::duration<double>(it.mean).count();
+  for (const ClassMix& it : kClassMix) {
+    sum += it.fraction * std::chrono::duration<double>(it.mean).count();
   }
   return sum;
 }
@@ -49,12 +49,12 @@
 
 }  // namespace
 
-Duration ClassFigures::Quantile(double share) {
+Duration ClassFigures::Quantile(double quantile) {
   if (latencies.empty()) {
     return Duration::zero();
   }
   const auto n = static_cast<std::ptrdiff_t>(
-      share * static_cast<double>(latencies.size() - 1));
+      quantile * static_cast<double>(latencies.size() - 1));
   std::nth_element(latencies.begin(), latencies.begin() + n, latencies.end());
   return latencies[static_cast<std::size_t>(n)];
 }
@@ -106,7 +106,7 @@
 }
 
 void DecisionSimulation::Push(Event event) {
-  event.order = pushed_++;
+  event.order = next_event_order_++;
   events_.push(event);
 }
 
@@ -114,22 +114,23 @@
   switch (event.kind) {
     case Kind::kArrival:
       return OnArrival();
-    case Kind::kReach:
-      return OnReach(event);
-    case Kind::kServed:
-      return OnServed(event);
+    case Kind::kRequestArrived:
+      return OnRequestArrived(event);
+    case Kind::kServiceDone:
+      return OnServiceDone(event);
     case Kind::kAnswer:
       return OnAnswer(event);
     case Kind::kTick:
       return OnTick(event);
     case Kind::kProbe:
-      return Push({now_ + Distance(event.host, event.endpoint), 0, Kind::kLoad,
-                   event.host, event.endpoint, 0, ReportOf(event.endpoint)});
-    case Kind::kLoad: {
+      return Push({now_ + Distance(event.host, event.endpoint), 0,
+                   Kind::kReportArrived, event.host, event.endpoint, 0,
+                   ReportOf(event.endpoint)});
+    case Kind::kReportArrived: {
       EndpointReport report = event.report;
       report.received_at = ToTime(now_);
       hosts_[event.host].table.OnReport(event.endpoint, report, ToTime(now_));
-      return Pump(event.host);
+      return DispatchWaiting(event.host);
     }
   }
 }
@@ -156,11 +157,12 @@
   call = Call();
   call.host = UniformBelow(random_, static_cast<std::uint32_t>(options_.hosts));
   const double draw = Uniform(random_);
-  call.urgency = draw < kMix[0].part                  ? Urgency::kUrgent
-                 : draw < kMix[0].part + kMix[1].part ? Urgency::kNormal
-                                                      : Urgency::kBulk;
+  call.urgency = draw < kClassMix[0].fraction ? Urgency::kUrgent
+                 : draw < kClassMix[0].fraction + kClassMix[1].fraction
+                     ? Urgency::kNormal
+                     : Urgency::kBulk;
   const auto kind = static_cast<std::size_t>(call.urgency);
-  call.service = Exponential(random_, kMix[kind].mean);
+  call.service = Exponential(random_, kClassMix[kind].mean);
   call.arrived = now_;
   hosts_[call.host].waiting[kind].push_back(token);
   for (int n = 0; n < options_.probes_per_call; ++n) {
@@ -168,7 +170,7 @@
         call.host,
         UniformBelow(random_, static_cast<std::uint32_t>(options_.endpoints)));
   }
-  Pump(call.host);
+  DispatchWaiting(call.host);
 }
 
 void DecisionSimulation::SendProbe(std::uint32_t host, std::uint32_t endpoint) {
@@ -182,7 +184,7 @@
         {}});
 }
 
-void DecisionSimulation::Pump(std::uint32_t host) {
+void DecisionSimulation::DispatchWaiting(std::uint32_t host) {
   Host& it = hosts_[host];
   for (std::size_t kind = 0; kind < kUrgencyCount; ++kind) {
     std::deque<std::uint32_t>& waiting = it.waiting[kind];
@@ -215,7 +217,7 @@
   call.endpoint = endpoint;
   hosts_[host].table.OnSend(endpoint, ToTime(now_));
   ++figures_.sends;
-  if (FaultNow()) {
+  if (IsFaultActive()) {
     ++sends_in_fault_;
     faulty_sends_in_fault_ += endpoint == 0 ? 1 : 0;
     const bool late = now_ > options_.length * 2 / 5 + milliseconds(500);
@@ -223,22 +225,22 @@
   }
   Push({now_ + Distance(host, endpoint),
         0,
-        Kind::kReach,
+        Kind::kRequestArrived,
         host,
         endpoint,
         token,
         {}});
 }
 
-void DecisionSimulation::OnReach(const Event& event) {
+void DecisionSimulation::OnRequestArrived(const Event& event) {
   Server& server = servers_[event.endpoint];
-  if (FaultNow(SimulatedFault::kFastErrors, event.endpoint)) {
-    return Answer(event.call, SendResult::kFailed, kFastError);
+  if (IsFaultActive(SimulatedFault::kFastErrors, event.endpoint)) {
+    return SendResponse(event.call, SendResult::kFailed, kFastErrorLatency);
   }
-  // One that drains finishes what it has and sheds what is new.
-  if (FaultNow(SimulatedFault::kDrain, event.endpoint) ||
+  // A draining endpoint finishes its accepted calls and sheds new ones.
+  if (IsFaultActive(SimulatedFault::kDrain, event.endpoint) ||
       server.queue.size() >= kEndpointQueue) {
-    return Answer(event.call, SendResult::kShed, kFastError);
+    return SendResponse(event.call, SendResult::kShed, kFastErrorLatency);
   }
   if (server.busy < options_.slots) {
     ++server.busy;
@@ -250,13 +252,13 @@
 void DecisionSimulation::StartService(std::uint32_t server,
                                       std::uint32_t token) {
   Duration time = calls_[token].service;
-  if (FaultNow(SimulatedFault::kSlow, server)) {
-    time = std::chrono::duration_cast<Duration>(time * kSlowdown);
+  if (IsFaultActive(SimulatedFault::kSlow, server)) {
+    time = std::chrono::duration_cast<Duration>(time * kSlowdownFactor);
   }
-  Push({now_ + time, 0, Kind::kServed, 0, server, token, {}});
+  Push({now_ + time, 0, Kind::kServiceDone, 0, server, token, {}});
 }
 
-void DecisionSimulation::OnServed(const Event& event) {
+void DecisionSimulation::OnServiceDone(const Event& event) {
   Server& server = servers_[event.endpoint];
   --server.busy;
   if (!server.queue.empty()) {
@@ -264,12 +266,12 @@
     StartService(event.endpoint, server.queue.front());
     server.queue.pop_front();
   }
-  Answer(event.call, SendResult::kAnswered, Duration::zero());
+  SendResponse(event.call, SendResult::kAnswered, Duration::zero());
 }
 
-void DecisionSimulation::Answer(std::uint32_t token,
-                                SendResult result,
-                                Duration after) {
+void DecisionSimulation::SendResponse(std::uint32_t token,
+                                      SendResult result,
+                                      Duration after) {
   Call& call = calls_[token];
   call.result = result;
   Push({now_ + after + Distance(call.host, call.endpoint), 0, Kind::kAnswer,
@@ -286,11 +288,11 @@
     server.reported_at = now_;
   }
   EndpointReport report = server.report;
-  if (FaultNow(SimulatedFault::kFrozenReport, endpoint)) {
+  if (IsFaultActive(SimulatedFault::kFrozenReport, endpoint)) {
     report.in_flight = 0;
     report.queued = 0;
   }
-  if (FaultNow(SimulatedFault::kDrain, endpoint)) {
+  if (IsFaultActive(SimulatedFault::kDrain, endpoint)) {
     report.mode = EndpointMode::kDraining;
   }
   return report;
@@ -315,7 +317,7 @@
       ++it.failed;
     }
   }
-  Pump(event.host);
+  DispatchWaiting(event.host);
 }
 
 void DecisionSimulation::OnTick(const Event& event) {
@@ -324,28 +326,28 @@
   if (probe) {
     SendProbe(event.host, *probe);
   }
-  Pump(event.host);
+  DispatchWaiting(event.host);
 }
 
 Duration DecisionSimulation::Distance(std::uint32_t host,
                                       std::uint32_t server) const {
   const auto zones = static_cast<std::uint32_t>(options_.zones);
-  return kWithinZone + (host % zones == server % zones
-                            ? Duration::zero()
-                            : options_.zone_distance);
+  return kSameZoneLatency + (host % zones == server % zones
+                                 ? Duration::zero()
+                                 : options_.zone_distance);
 }
 
-bool DecisionSimulation::FaultNow() const {
+bool DecisionSimulation::IsFaultActive() const {
   const Duration start = options_.length * 2 / 5;
   const Duration end = options_.fault == SimulatedFault::kSlow
-                           ? start + kSlowFor
+                           ? start + kSlowdownTime
                            : options_.length * 3 / 5;
   return options_.fault != SimulatedFault::kNone && now_ >= start && now_ < end;
 }
 
-bool DecisionSimulation::FaultNow(SimulatedFault fault,
-                                  std::uint32_t server) const {
-  return options_.fault == fault && server == 0 && FaultNow();
+bool DecisionSimulation::IsFaultActive(SimulatedFault fault,
+                                       std::uint32_t server) const {
+  return options_.fault == fault && server == 0 && IsFaultActive();
 }
 
 bool DecisionSimulation::IsMeasured(const Call& call) const {
--- a/bench/decision_simulation.h
+++ b/bench/decision_simulation.h
@@ -14,8 +14,8 @@
 
 namespace damasktack {
 
-// What goes wrong at the first endpoint, from 40% to 60% of the run or, for
-// the slowdown, for 2 s.
+// Fault of the first endpoint. It lasts from 40% to 60% of the run, except that
+// kSlow lasts 2 s from the 40% mark.
 enum class SimulatedFault { kNone, kSlow, kFastErrors, kDrain, kFrozenReport };
 
 struct SimulationOptions {
@@ -24,16 +24,17 @@
   int zones = 3;
   Duration zone_distance = std::chrono::milliseconds(1);
   int hosts = 15;
-  // Share of all slots that the offered calls would take.
+  // Offered load as a fraction of all slots.
   double load = 0.85;
   std::string_view picker = "sampling";
-  // How often an endpoint renews its report; zero is at each answer.
+  // Interval at which an endpoint updates its report; zero means with each
+  // response.
   Duration report_period{};
   SimulatedFault fault = SimulatedFault::kNone;
   double probes_per_second = 0;
-  // Also sends this many probes with every call, outside any budget.
+  // Number of probes sent additionally with each call, outside the budget.
   int probes_per_call = 0;
-  // By class: what a call lets an endpoint's load add up to.
+  // Largest load per slot up to which an endpoint is picked, by class.
   std::array<double, kUrgencyCount> max_load = {1.5, 1.34, 1.0};
   Duration length = std::chrono::seconds(20);
   std::uint64_t seed = 1;
@@ -45,31 +46,39 @@
   std::uint64_t failed = 0;
   std::vector<Duration> latencies;
 
-  // Of the calls that were answered.
-  Duration Quantile(double share);
+  // Returns a latency quantile of the answered calls.
+  Duration Quantile(double quantile);
 };
 
 struct SimulationFigures {
   std::array<ClassFigures, kUrgencyCount> classes;
   std::uint64_t probes = 0;
   std::uint64_t sends = 0;
-  // Share of the sends during the fault that went to the faulty endpoint, a
-  // fair part being one by the number of endpoints.
+  // Fraction of the requests during the fault that went to the faulty endpoint;
+  // an even spread gives 1 / endpoints.
   double to_faulty = 0;
-  // Sends to it from 500 ms after the fault began.
+  // Requests sent to the faulty endpoint later than 500 ms into the fault.
   std::uint64_t late_to_faulty = 0;
 };
 
-// Fifteen hosts, each with its own endpoint table, and endpoints with slots
-// that serve in order of arrival, in one queue of events. A host lets calls
-// wait by urgency while its table gives no endpoint.
+// Discrete-event simulation of hosts (15 by default), each with its own
+// endpoint table, and of endpoints with slots that serve calls in order of
+// arrival. A host queues calls by urgency while its table returns no endpoint.
 class DecisionSimulation {
  public:
   explicit DecisionSimulation(const SimulationOptions& options);
   SimulationFigures Run();
 
  private:
-  enum class Kind { kArrival, kReach, kServed, kAnswer, kTick, kProbe, kLoad };
+  enum class Kind {
+    kArrival,
+    kRequestArrived,
+    kServiceDone,
+    kAnswer,
+    kTick,
+    kProbe,
+    kReportArrived
+  };
   struct Event {
     Duration at;
     std::uint64_t order;
@@ -106,25 +115,25 @@
   void Push(Event event);
   void Handle(const Event& event);
   void OnArrival();
-  void OnReach(const Event& event);
-  void OnServed(const Event& event);
+  void OnRequestArrived(const Event& event);
+  void OnServiceDone(const Event& event);
   void OnAnswer(const Event& event);
   void OnTick(const Event& event);
   void StartService(std::uint32_t server, std::uint32_t call);
-  void Answer(std::uint32_t call, SendResult result, Duration after);
-  void Pump(std::uint32_t host);
+  void SendResponse(std::uint32_t call, SendResult result, Duration after);
+  void DispatchWaiting(std::uint32_t host);
   void Send(std::uint32_t host, std::uint32_t call, EndpointIndex endpoint);
   void SendProbe(std::uint32_t host, std::uint32_t endpoint);
   EndpointReport ReportOf(std::uint32_t server);
   Duration Distance(std::uint32_t host, std::uint32_t server) const;
-  bool FaultNow() const;
-  bool FaultNow(SimulatedFault fault, std::uint32_t server) const;
+  bool IsFaultActive() const;
+  bool IsFaultActive(SimulatedFault fault, std::uint32_t server) const;
   bool IsMeasured(const Call& call) const;
 
   const SimulationOptions options_;
   Random random_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
-  std::uint64_t pushed_ = 0;
+  std::uint64_t next_event_order_ = 0;
   Duration now_{};
   std::vector<Host> hosts_;
   std::vector<Server> servers_;
--- a/bench/decision_time_bench.cc
+++ b/bench/decision_time_bench.cc
@@ -1,5 +1,5 @@
-// Time and allocations of one choice: pick, send, end and report, as a host
-// with reports of every age goes through them.
+// Measures time and allocations of the endpoint table's operations for one call
+// (pick, send, end, report) with reports of different ages.
 #include <benchmark/benchmark.h>
 
 #include <atomic>
@@ -71,8 +71,8 @@
                                   static_cast<double>(state.iterations());
 }
 
-// Only the choice, where each endpoint has so many own calls besides.
-template <int kOwn>
+// Measures Pick() when each endpoint has kOwnCalls open calls of this host.
+template <int kOwnCalls>
 void BM_Pick(benchmark::State& state) {
   const auto endpoints = static_cast<int>(state.range(0));
   EndpointTable table = MakeTable(endpoints, ChosenPicker::kName);
@@ -84,7 +84,7 @@
     if (n % 15 == 0) {
       table.OnSend(static_cast<EndpointIndex>(n), now);
     }
-    for (int sends = 0; sends < kOwn; ++sends) {
+    for (int sends = 0; sends < kOwnCalls; ++sends) {
       table.OnSend(static_cast<EndpointIndex>(n), now);
     }
     now += microseconds(10);
@@ -102,7 +102,7 @@
 BENCHMARK(BM_Pick<0>)->Name("pick, some have room")->Arg(15)->Arg(510);
 BENCHMARK(BM_Pick<6>)->Name("pick, none has room")->Arg(15)->Arg(510);
 
-// The whole of what a call costs the table.
+// Measures all operations of the endpoint table for one call.
 void BM_Call(benchmark::State& state) {
   const auto endpoints = static_cast<int>(state.range(0));
   EndpointTable table = MakeTable(endpoints, ChosenPicker::kName);
@@ -127,7 +127,7 @@
 }
 BENCHMARK(BM_Call)->Name("pick, send, end, report")->Arg(15)->Arg(510);
 
-// What a host spends where one endpoint of a service is replaced.
+// Measures the update of a host when one endpoint of a service is replaced.
 void BM_Replace(benchmark::State& state) {
   ServiceSpec service = MakeService(static_cast<int>(state.range(0)));
   MeasuredBalancerOptions options;
@@ -150,7 +150,7 @@
     ->Arg(300)
     ->Arg(3000);
 
-// What a host that starts spends on its first list.
+// Measures how a starting host processes its first endpoint list.
 void BM_FirstList(benchmark::State& state) {
   const ServiceSpec service = MakeService(static_cast<int>(state.range(0)));
   const TimePoint now(std::chrono::seconds(2));
--- a/bench/fleet_change_bench.cc
+++ b/bench/fleet_change_bench.cc
@@ -1,6 +1,6 @@
-// Time from a published change to in force on every host, over real links on
-// loopback: many FleetNodes and one stand-in platform in one process. Prints
-// also what a quiet host costs.
+// Measures the time until a published change is in force on every host, with
+// many FleetNodes and one stand-in platform in one process, connected over
+// loopback. Also prints the cost of an idle host.
 
 #include <sys/resource.h>
 
@@ -21,15 +21,15 @@
 
 constexpr std::size_t kZones = 4;
 constexpr int kChanges = 30;
-constexpr Duration kQuiet = std::chrono::seconds(10);
-constexpr Duration kPoll = std::chrono::milliseconds(1);
+constexpr Duration kIdleTime = std::chrono::seconds(10);
+constexpr Duration kPollInterval = std::chrono::milliseconds(1);
 
-class Ignore : public FleetNodeEvents {
+class NoOpEvents : public FleetNodeEvents {
  public:
   void OnInForce(const Document& /*document*/) override {}
   void OnRefused(DocumentName /*name*/,
                  const DocumentRefusal& /*refusal*/) override {}
-  void OnHeardDrain(const DrainObservation& /*sighting*/) override {}
+  void OnHeardDrain(const DrainObservation& /*observation*/) override {}
 };
 
 using Nodes = std::vector<std::unique_ptr<FleetNode>>;
@@ -38,7 +38,7 @@
   return std::chrono::duration<double, std::milli>(time).count();
 }
 
-double ProcessorSeconds() {
+double CpuSeconds() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
   constexpr double kMicro = 1e-6;
@@ -66,29 +66,30 @@
   return text + "]}";
 }
 
-// Contracts of about this many bytes, valid and different each time.
+// Returns a valid contract document of about `size` bytes that differs for each
+// `change`.
 std::string ContractsOf(std::size_t size, int change) {
   return R"({"contracts": [] /* )" + std::to_string(change) +
          std::string(size, 'x') + " */}";
 }
 
-void AwaitAll(const Nodes& nodes,
-              Revision revision,
-              std::vector<Duration>* times) {
+void WaitUntilApplied(const Nodes& nodes,
+                      Revision revision,
+                      std::vector<Duration>* times) {
   const TimePoint began = Clock::now();
-  std::vector<bool> has(nodes.size(), false);
-  while (!std::ranges::all_of(has, [](bool it) { return it; })) {
+  std::vector<bool> is_applied(nodes.size(), false);
+  while (!std::ranges::all_of(is_applied, [](bool it) { return it; })) {
     for (std::size_t n = 0; n < nodes.size(); ++n) {
-      const bool now_has =
+      const bool applied_now =
           nodes[n]->state()->RevisionOf(DocumentName::kContracts) >= revision;
-      if (now_has && !has[n]) {
-        has[n] = true;
+      if (applied_now && !is_applied[n]) {
+        is_applied[n] = true;
         if (times != nullptr) {
           times->push_back(Clock::now() - began);
         }
       }
     }
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
@@ -99,29 +100,29 @@
   for (int n = 0; n < kChanges; ++n) {
     const Revision revision =
         platform.Publish("contracts", ContractsOf(size, n));
-    AwaitAll(nodes, revision, &times);
+    WaitUntilApplied(nodes, revision, &times);
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
   }
   std::ranges::sort(times);
-  const auto at = [&](double share) {
+  const auto at = [&](double quantile) {
     const auto last = static_cast<double>(times.size() - 1);
-    return Milliseconds(times[static_cast<std::size_t>(last * share)]);
+    return Milliseconds(times[static_cast<std::size_t>(last * quantile)]);
   };
   std::printf("hosts=%zu body=%zuB p50=%.0fms p99=%.0fms max=%.0fms\n",
               nodes.size(), size, at(0.5), at(0.99), at(1.0));
 }
 
-void PrintQuiet(const Nodes& nodes, StandinPlatform& platform) {
-  const double processor = ProcessorSeconds();
+void PrintIdleCost(const Nodes& nodes, StandinPlatform& platform) {
+  const double cpu_before = CpuSeconds();
   const std::uint64_t bytes = BytesSent(nodes);
   const std::uint64_t reads = platform.reads();
-  std::this_thread::sleep_for(kQuiet);
-  const double seconds = std::chrono::duration<double>(kQuiet).count();
+  std::this_thread::sleep_for(kIdleTime);
+  const double seconds = std::chrono::duration<double>(kIdleTime).count();
   const double hosts = static_cast<double>(nodes.size());
   std::printf(
       "hosts=%zu quiet: %.2f%% of a core and %.0f B/s sent a host, %.2f "
       "platform reads/s in all\n",
-      nodes.size(), 100 * (ProcessorSeconds() - processor) / seconds / hosts,
+      nodes.size(), 100 * (CpuSeconds() - cpu_before) / seconds / hosts,
       static_cast<double>(BytesSent(nodes) - bytes) / seconds / hosts,
       static_cast<double>(platform.reads() - reads) / seconds);
 }
@@ -129,7 +130,7 @@
 void Run(std::size_t hosts) {
   StandinPlatform platform;
   const std::uint16_t port = platform.Start(0);
-  Ignore events;
+  NoOpEvents events;
   Nodes nodes;
   for (std::size_t n = 0; n < hosts; ++n) {
     FleetNodeOptions options;
@@ -144,9 +145,10 @@
   }
   platform.Publish("services", R"({"services": []})");
   platform.Publish("hosts", HostList(nodes));
-  AwaitAll(nodes, platform.Publish("contracts", ContractsOf(0, 0)), nullptr);
+  WaitUntilApplied(nodes, platform.Publish("contracts", ContractsOf(0, 0)),
+                   nullptr);
   std::this_thread::sleep_for(std::chrono::seconds(5));
-  PrintQuiet(nodes, platform);
+  PrintIdleCost(nodes, platform);
   PrintChanges(nodes, platform, 2'000);
   PrintChanges(nodes, platform, 500'000);
   std::fflush(stdout);
--- a/bench/fleet_documents_bench.cc
+++ b/bench/fleet_documents_bench.cc
@@ -1,5 +1,6 @@
-// How a change spreads over a fleet in memory: time, messages and bytes, by
-// number of hosts and size of the document. Prints one line a case.
+// Measures how a document change propagates through a simulated fleet: time,
+// messages and bytes by number of hosts and document size. Prints one line per
+// case.
 
 #include <algorithm>
 #include <cstdio>
@@ -12,14 +13,14 @@
 namespace {
 
 constexpr int kChanges = 20;
-constexpr Duration kQuiet = std::chrono::seconds(1);
+constexpr Duration kIdleTime = std::chrono::seconds(1);
 
 double Milliseconds(Duration time) {
   return std::chrono::duration<double, std::milli>(time).count();
 }
 
-// Traffic of a fleet in which nothing changes, in each direction of a host.
-void PrintQuiet(MemoryNetwork& network) {
+// Prints the traffic sent per host while no document changes.
+void PrintIdleTraffic(MemoryNetwork& network) {
   constexpr Duration kTime = std::chrono::seconds(5);
   network.ResetTraffic();
   network.Run(kTime);
@@ -31,59 +32,60 @@
               static_cast<double>(network.traffic().bytes) / host_seconds);
 }
 
-struct Spread {
+struct PropagationStats {
   std::vector<Duration> times;
   std::uint64_t pushes = 0;
   std::uint64_t bytes = 0;
 };
 
-// From the readers' hearing of a change to each host having it in force.
-void OneChange(MemoryNetwork& network,
-               Revision revision,
-               std::size_t size,
-               Spread& spread) {
-  network.Run(kQuiet);
+// Measures the time from the readers' receipt of a change until each host has
+// it in force.
+void MeasureChange(MemoryNetwork& network,
+                   Revision revision,
+                   std::size_t size,
+                   PropagationStats& stats) {
+  network.Run(kIdleTime);
   network.ResetTraffic();
   const TimePoint began = network.now();
   network.OfferToReaders(
       {DocumentName::kContracts, revision, std::string(size, 'x')});
-  std::vector<bool> has(network.size(), false);
+  std::vector<bool> is_applied(network.size(), false);
   network.RunUntil(
       [&] {
         for (std::size_t n = 0; n < network.size(); ++n) {
-          const bool now_has = network.at(n).documents().RevisionOf(
-                                   DocumentName::kContracts) == revision;
-          if (now_has && !has[n]) {
-            has[n] = true;
-            spread.times.push_back(network.now() - began);
+          const bool applied_now = network.at(n).documents().RevisionOf(
+                                       DocumentName::kContracts) == revision;
+          if (applied_now && !is_applied[n]) {
+            is_applied[n] = true;
+            stats.times.push_back(network.now() - began);
           }
         }
-        return std::ranges::all_of(has, [](bool it) { return it; });
+        return std::ranges::all_of(is_applied, [](bool it) { return it; });
       },
       std::chrono::seconds(30));
-  spread.pushes += network.traffic().pushes;
-  spread.bytes += network.traffic().bytes;
+  stats.pushes += network.traffic().pushes;
+  stats.bytes += network.traffic().bytes;
 }
 
 void PrintChanges(MemoryNetwork& network,
                   std::size_t size,
                   Revision& revision) {
-  Spread spread;
+  PropagationStats stats;
   for (int n = 0; n < kChanges; ++n) {
-    OneChange(network, ++revision, size, spread);
+    MeasureChange(network, ++revision, size, stats);
   }
-  std::ranges::sort(spread.times);
-  const auto at = [&](double share) {
-    const auto last = static_cast<double>(spread.times.size() - 1);
-    return Milliseconds(spread.times[static_cast<std::size_t>(last * share)]);
+  std::ranges::sort(stats.times);
+  const auto at = [&](double quantile) {
+    const auto last = static_cast<double>(stats.times.size() - 1);
+    return Milliseconds(stats.times[static_cast<std::size_t>(last * quantile)]);
   };
   const double changes = kChanges;
   std::printf(
       "hosts=%zu body=%zuB: p50=%.0fms p99=%.0fms max=%.0fms, a change sends "
       "%.1f bodies and %.0f B in all\n",
       network.size(), size, at(0.5), at(0.99), at(1.0),
-      static_cast<double>(spread.pushes) / changes,
-      static_cast<double>(spread.bytes) / changes);
+      static_cast<double>(stats.pushes) / changes,
+      static_cast<double>(stats.bytes) / changes);
 }
 
 void Run(std::size_t hosts) {
@@ -98,7 +100,7 @@
     readers += IsReader(network.at(n).view()) ? 1 : 0;
   }
   std::printf("hosts=%zu readers=%zu\n", hosts, readers);
-  PrintQuiet(network);
+  PrintIdleTraffic(network);
   Revision revision = 1;
   PrintChanges(network, 2'000, revision);
   PrintChanges(network, 200'000, revision);
--- a/bench/limit_share_bench.cc
+++ b/bench/limit_share_bench.cc
@@ -1,6 +1,7 @@
-// How much of a customer's limit stays unused when all its traffic enters
-// through few hosts, and what the lending costs in messages and bytes. Fifteen
-// ledgers in memory, one millisecond apart; the time is simulated.
+// Measures how much of a customer's rate limit stays unused when all its
+// traffic enters through few hosts, and the messages and bytes that lending
+// costs. Simulates fifteen limit allocators that are 1 ms apart, in simulated
+// time.
 #include <cstdio>
 #include <memory>
 
@@ -14,7 +15,7 @@
 
 constexpr std::size_t kHosts = 15;
 constexpr Duration kStep = std::chrono::milliseconds(10);
-constexpr int kStepsASecond = 100;
+constexpr int kStepsPerSecond = 100;
 
 Contract MakeContract(std::int64_t rate) {
   Contract contract;
@@ -23,14 +24,14 @@
   return contract;
 }
 
-void Measure(std::int64_t rate, std::size_t entries) {
+void Measure(std::int64_t rate, std::size_t entry_hosts) {
   const Contract contract = MakeContract(rate);
   FakeFleet<LimitAllocator> fleet(
       kHosts, 1, [&](HostId id, Incarnation incarnation) {
-        auto ledger =
+        auto allocator =
             std::make_unique<LimitAllocator>(id, incarnation, LimitOptions());
-        ledger->SetContracts({contract}, {});
-        return ledger;
+        allocator->SetContracts({contract}, {});
+        return allocator;
       });
   std::uint64_t bytes = 0;
   fleet.OnSent(
@@ -39,21 +40,21 @@
     fleet.Start(n);
   }
   fleet.ShowViews();
-  for (int n = 0; n < kStepsASecond; ++n) {
+  for (int n = 0; n < kStepsPerSecond; ++n) {
     fleet.Advance(kStep);
   }
   std::printf("limit %5ld/s, %zu of %zu hosts, unused %% by second:",
-              static_cast<long>(rate), entries, kHosts);
+              static_cast<long>(rate), entry_hosts, kHosts);
   const std::uint64_t sent_before = fleet.sent();
   bytes = 0;
   constexpr int kSeconds = 10;
-  std::size_t next_entry = 0;
+  std::size_t next_call = 0;
   for (int second = 0; second < kSeconds; ++second) {
     std::int64_t admitted = 0;
-    for (int step = 0; step < kStepsASecond; ++step) {
-      // Three times the limit is offered.
-      for (std::int64_t n = 0; n < 3 * rate / kStepsASecond + 1; ++n) {
-        const auto host = next_entry++ % entries;
+    for (int step = 0; step < kStepsPerSecond; ++step) {
+      // The offered rate is three times the limit.
+      for (std::int64_t n = 0; n < 3 * rate / kStepsPerSecond + 1; ++n) {
+        const auto host = next_call++ % entry_hosts;
         const auto verdict = fleet.At(host).Enter(contract, fleet.now());
         admitted += verdict.admitted ? 1 : 0;
       }
@@ -74,8 +75,8 @@
 
 int main() {
   for (const std::int64_t rate : {30, 300, 3000}) {
-    for (const std::size_t entries : {1U, 2U, 5U, 15U}) {
-      damasktack::Measure(rate, entries);
+    for (const std::size_t entry_hosts : {1U, 2U, 5U, 15U}) {
+      damasktack::Measure(rate, entry_hosts);
     }
   }
   return 0;
--- a/bench/load_experiment_bench.cc
+++ b/bench/load_experiment_bench.cc
@@ -1,5 +1,5 @@
-// Plays scenarios of load against policies side by side, on the same arrivals,
-// and tells how far each is from an oracle.
+// Runs load scenarios with several balancing policies on the same arrivals and
+// prints how far each policy is from an oracle.
 //
 //   load_experiment_bench --scenarios bench/scenarios/knee.json --seeds 5
 //   load_experiment_bench --set on_time_margin=1.3 --csv before.csv
@@ -99,7 +99,7 @@
   text << file.rdbuf();
   BOOST_LEAF_AUTO(json, ParseJson(text.str(), path));
   if (!json.is_array()) {
-    return Fail(ErrorKind::kWrongType, path, "something else than a list",
+    return Fail(ErrorKind::kWrongType, path, "not a list",
                 "write a list of scenarios in brackets");
   }
   std::vector<Scenario> scenarios;
@@ -115,7 +115,8 @@
   BalancerFactory make;
 };
 
-// Probes nothing, so that it goes by its own calls and what answers tell.
+// Disables probes, so that the balancer only uses its own calls and the reports
+// in responses.
 MeasuredBalancerOptions WithoutProbes(MeasuredBalancerOptions options) {
   options.probe_limit = 0;
   options.probe_burst = 0;
@@ -140,8 +141,8 @@
           MakeMeasured("own-calls", WithoutProbes(options), zones)};
 }
 
-leaf::result<void> Set(const std::string& text,
-                       MeasuredBalancerOptions& options) {
+leaf::result<void> SetOption(const std::string& text,
+                             MeasuredBalancerOptions& options) {
   const std::size_t equals = text.find('=');
   const std::string name = text.substr(0, equals);
   const std::string value =
@@ -198,7 +199,7 @@
     }
     return sum / static_cast<double>(values.size());
   }
-  // Standard error.
+  // Standard error of the mean.
   double error() const {
     if (values.size() < 2) {
       return 0;
@@ -212,19 +213,19 @@
   }
 };
 
-void PlayScenario(const Scenario& scenario,
-                  const MeasuredBalancerOptions& options,
-                  std::uint64_t seeds,
-                  std::ostream& csv) {
-  std::vector<double> ceiling;
+void RunScenario(const Scenario& scenario,
+                 const MeasuredBalancerOptions& options,
+                 std::uint64_t seeds,
+                 std::ostream& csv) {
+  std::vector<double> oracle_worth;
   for (const Policy& policy : MakePolicies(options, scenario.service.zones)) {
     Mean worth;
     Mean served;
     Mean regret;
     double probes = 0;
-    double crossings = 0;
+    double cross_zone_sends = 0;
     double cold = 0;
-    std::uint64_t worst_cold = 0;
+    std::uint64_t peak_cold_rate = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
       const EmulatedFigures figures =
           LoadEmulator(scenario.service, scenario.load, policy.make, seed)
@@ -233,14 +234,14 @@
       worth.values.push_back(figures.Worth());
       served.values.push_back(figures.Served());
       if (policy.name == "oracle") {
-        ceiling.push_back(figures.Worth());
+        oracle_worth.push_back(figures.Worth());
       }
-      regret.values.push_back(ceiling[seed - 1] - figures.Worth());
+      regret.values.push_back(oracle_worth[seed - 1] - figures.Worth());
       probes += static_cast<double>(figures.probes) / calls / seeds;
-      crossings +=
+      cross_zone_sends +=
           static_cast<double>(figures.other_zone_sends) / calls / seeds;
       cold += static_cast<double>(figures.cold_sends) / calls / seeds;
-      worst_cold = std::max(worst_cold, figures.worst_cold_second);
+      peak_cold_rate = std::max(peak_cold_rate, figures.worst_cold_second);
       csv << scenario.name << ',' << policy.name << ',' << seed << ','
           << figures.Worth() << ',' << figures.Served() << ',' << figures.calls
           << ',' << figures.on_time << ',' << figures.late << ','
@@ -253,7 +254,8 @@
         "%10llu\n",
         scenario.name.c_str(), policy.name.c_str(), worth.value(),
         worth.error(), served.value(), regret.value(), regret.error(), probes,
-        crossings, cold, static_cast<unsigned long long>(worst_cold));
+        cross_zone_sends, cold,
+        static_cast<unsigned long long>(peak_cold_rate));
   }
 }
 
@@ -261,7 +263,7 @@
   MeasuredBalancerOptions options;
   for (const std::string& it :
        arguments["set"].as<std::vector<std::string>>()) {
-    BOOST_LEAF_CHECK(Set(it, options));
+    BOOST_LEAF_CHECK(SetOption(it, options));
   }
   BOOST_LEAF_AUTO(scenarios,
                   ReadScenarios(arguments["scenarios"].as<std::string>()));
@@ -272,33 +274,33 @@
               "policy", "worth", "+-", "served", "regret", "+-", "probes",
               "crossings", "cold", "worst cold");
   for (const Scenario& it : scenarios) {
-    PlayScenario(it, options, arguments["seeds"].as<std::uint64_t>(), csv);
+    RunScenario(it, options, arguments["seeds"].as<std::uint64_t>(), csv);
   }
   return {};
 }
 
 int Main(int argc, char** argv) {
-  po::options_description described("load_experiment_bench");
-  described.add_options()("help", "this text")(
+  po::options_description description("load_experiment_bench");
+  description.add_options()("help", "print this help")(
       "scenarios",
       po::value<std::string>()->default_value("bench/scenarios/knee.json"),
-      "file with the loads to play")(
+      "file with the scenarios to run")(
       "seeds", po::value<std::uint64_t>()->default_value(3),
-      "seeds 1 to this one, each for every policy")(
+      "number of seeds, starting at 1, to run with each policy")(
       "csv", po::value<std::string>()->default_value("/dev/null"),
-      "one line for each play")(
+      "output file with one line per scenario, policy and seed")(
       "set", po::value<std::vector<std::string>>()->default_value({}, ""),
-      "NAME=VALUE of the measured policy; may be repeated");
+      "option of the measured policy as NAME=VALUE; may be repeated");
   po::variables_map arguments;
   try {
-    po::store(po::parse_command_line(argc, argv, described), arguments);
+    po::store(po::parse_command_line(argc, argv, description), arguments);
   } catch (const po::error& problem) {
     std::cerr << problem.what() << "; see --help\n";
     return 2;
   }
   po::notify(arguments);
   if (arguments.count("help") > 0) {
-    std::cout << described;
+    std::cout << description;
     return 0;
   }
   const std::optional<Error> fault =
--- a/bench/platform_reads_bench.cc
+++ b/bench/platform_reads_bench.cc
@@ -1,6 +1,6 @@
-// Reads a second that a fleet sends to the platform, by its size: in quiet
-// times, when all hosts start at once, and around an outage of an hour. Runs
-// the hosts' schedules and budgets on a clock in memory.
+// Measures the reads per second that a fleet sends to the platform, by fleet
+// size: when idle, when all hosts start at once, and during and after an outage
+// of one hour. Runs the hosts' read schedules and budgets in simulated time.
 
 #include <algorithm>
 #include <cstdio>
@@ -15,13 +15,13 @@
 namespace {
 
 constexpr std::size_t kZones = 4;
-constexpr Duration kWatch = std::chrono::seconds(20);
+constexpr Duration kWatchDuration = std::chrono::seconds(20);
 const TimePoint kStart = TimePoint() + std::chrono::hours(1);
-const TimePoint kDown = kStart + std::chrono::minutes(30);
-const TimePoint kBack = kDown + std::chrono::hours(1);
-const TimePoint kEnd = kBack + std::chrono::minutes(30);
+const TimePoint kOutageStart = kStart + std::chrono::minutes(30);
+const TimePoint kOutageEnd = kOutageStart + std::chrono::hours(1);
+const TimePoint kEnd = kOutageEnd + std::chrono::minutes(30);
 
-// Reads by the second in which they were sent.
+// Number of reads by the second in which they were sent.
 using Reads = std::map<std::int64_t, std::uint64_t>;
 
 std::int64_t SecondOf(TimePoint time) {
@@ -30,9 +30,12 @@
       .count();
 }
 
-// All reads of one host. A watch that is answered takes kWatch; in an outage
-// the platform refuses at once.
-void RunHost(std::size_t hosts, std::uint64_t seed, bool reader, Reads& reads) {
+// Adds all reads of one host. A successful watch takes kWatchDuration; during
+// the outage the platform rejects reads immediately.
+void RunHost(std::size_t hosts,
+             std::uint64_t seed,
+             bool is_reader,
+             Reads& reads) {
   ReadBudget budget(PlatformReaderOptions().reads_per_second);
   budget.SetHosts(hosts, kStart);
   std::vector<ReadSchedule> schedules;
@@ -40,7 +43,7 @@
     schedules.emplace_back(ReadScheduleOptions(), seed * kDocumentCount + n);
     schedules.back().SetHosts(hosts);
     schedules.back().Start(kStart);
-    schedules.back().SetReader(reader, kStart);
+    schedules.back().SetReader(is_reader, kStart);
   }
   std::vector<TimePoint> next;
   for (const ReadSchedule& it : schedules) {
@@ -59,14 +62,14 @@
       continue;
     }
     ++reads[SecondOf(now)];
-    const bool down = now >= kDown && now < kBack;
-    if (down) {
+    const bool is_outage = now >= kOutageStart && now < kOutageEnd;
+    if (is_outage) {
       schedules[n].Failed(now);
       *first = schedules[n].due();
     } else {
       schedules[n].Answered(now);
-      *first =
-          std::max(schedules[n].due(), now + (reader ? kWatch : Duration{}));
+      *first = std::max(schedules[n].due(),
+                        now + (is_reader ? kWatchDuration : Duration{}));
     }
   }
 }
@@ -81,13 +84,13 @@
 }
 
 std::uint64_t Peak(const Reads& reads, TimePoint from, TimePoint to) {
-  std::uint64_t most = 0;
+  std::uint64_t peak = 0;
   for (const auto& [second, n] : reads) {
     if (second >= SecondOf(from) && second < SecondOf(to)) {
-      most = std::max(most, n);
+      peak = std::max(peak, n);
     }
   }
-  return most;
+  return peak;
 }
 
 void Run(std::size_t hosts) {
@@ -99,10 +102,11 @@
   std::printf(
       "hosts=%zu quiet=%.2f/s all-start-peak=%llu/s outage=%.2f/s "
       "return-peak=%llu/s\n",
-      hosts, Average(reads, kStart + 10 * minute, kDown),
+      hosts, Average(reads, kStart + 10 * minute, kOutageStart),
       static_cast<unsigned long long>(Peak(reads, kStart, kStart + minute)),
-      Average(reads, kDown + 10 * minute, kBack),
-      static_cast<unsigned long long>(Peak(reads, kBack, kBack + minute)));
+      Average(reads, kOutageStart + 10 * minute, kOutageEnd),
+      static_cast<unsigned long long>(
+          Peak(reads, kOutageEnd, kOutageEnd + minute)));
 }
 
 }  // namespace
--- a/bench/proxy_bench.cc
+++ b/bench/proxy_bench.cc
@@ -1,15 +1,16 @@
-// Measures what damasktack adds to a call on loopback. One program with a role
-// for each process of the run; misc/scripts/measure_proxy.sh puts them
-// together.
+// Measures the latency that damasktack adds to a call on loopback. Each process
+// of a run is this program in another role; misc/scripts/measure_proxy.sh
+// starts them.
 //
-//   proxy_bench endpoint            answers every request at once
-//   proxy_bench httplib THREADS     the same by cpp-httplib's server
-//   proxy_bench proxy PORT THREADS  damasktack's proxy before that endpoint
+//   proxy_bench endpoint            answers every request immediately
+//   proxy_bench httplib THREADS     the same with the cpp-httplib server
+//   proxy_bench proxy PORT THREADS  damasktack's proxy in front of the
+//                                   endpoint on PORT
 //   proxy_bench load PORT RATE SECONDS CONNECTIONS
 //                                   prints calls/s and quantiles in us
 //   proxy_bench hold PORT CONNECTIONS
-//                                   opens connections, calls once on each,
-//                                   then keeps them until it is killed
+//                                   opens connections, sends one call on
+//                                   each, and holds them until killed
 //
 // Servers print "port N" and run until they are killed.
 #include <httplib.h>
@@ -141,7 +142,7 @@
   AnnounceAndWait(server.port());
 }
 
-// Also makes sure that the server has accepted the connection.
+// Sends one call, which also ensures that the server accepted the connection.
 void CallOnce(Tcp::socket& socket) {
   asio::write(socket, asio::buffer(kRequest));
   beast::flat_buffer buf;
@@ -149,14 +150,17 @@
   http::read(socket, buf, answer);
 }
 
-// One thread's share of the load. Calls are due by the clock, whatever became
-// of the earlier ones, and each is timed from when it was due: a call that
-// waits because the server is slow counts its wait (no coordinated omission).
-class OpenLoad {
+// Open-loop load generator of one thread. Calls are due at fixed times,
+// independent of earlier calls, and latency is measured from the due time, so
+// that waiting for a slow server counts (no coordinated omission).
+class OpenLoopLoad {
  public:
-  OpenLoad(std::uint16_t port, double rate, seconds time, std::size_t width)
-      : interval_(static_cast<std::int64_t>(1e9 / rate)), due_(context_) {
-    for (std::size_t n = 0; n < width; ++n) {
+  OpenLoopLoad(std::uint16_t port,
+               double rate,
+               seconds time,
+               std::size_t connection_count)
+      : interval_(static_cast<std::int64_t>(1e9 / rate)), due_timer_(context_) {
+    for (std::size_t n = 0; n < connection_count; ++n) {
       connections_.push_back(std::make_unique<Tcp::socket>(context_));
       connections_.back()->connect({asio::ip::address_v4::loopback(), port});
       connections_.back()->set_option(Tcp::no_delay(true));
@@ -180,8 +184,9 @@
     for (TimePoint next = start_; next < end_; next += interval_) {
       if (next > Clock::now()) {
         boost::system::error_code ec;
-        due_.expires_at(next);
-        co_await due_.async_wait(asio::redirect_error(asio::use_awaitable, ec));
+        due_timer_.expires_at(next);
+        co_await due_timer_.async_wait(
+            asio::redirect_error(asio::use_awaitable, ec));
       }
       waiting_.push_back(next);
       SendNext();
@@ -223,26 +228,29 @@
   TimePoint start_;
   TimePoint end_;
   asio::io_context context_{1};
-  asio::steady_timer due_;
+  asio::steady_timer due_timer_;
   std::vector<std::unique_ptr<Tcp::socket>> connections_;
   std::vector<Tcp::socket*> idle_;
   std::deque<TimePoint> waiting_;
 };
 
-std::int64_t Quantile(const std::vector<Duration>& sorted, double share) {
+std::int64_t Quantile(const std::vector<Duration>& sorted, double quantile) {
   if (sorted.empty()) {
     return 0;
   }
-  const auto at =
-      static_cast<std::size_t>(share * static_cast<double>(sorted.size() - 1));
+  const auto at = static_cast<std::size_t>(
+      quantile * static_cast<double>(sorted.size() - 1));
   return std::chrono::duration_cast<microseconds>(sorted[at]).count();
 }
 
-void RunLoad(std::uint16_t port, double rate, seconds time, std::size_t width) {
-  std::vector<std::unique_ptr<OpenLoad>> loads;
+void RunLoad(std::uint16_t port,
+             double rate,
+             seconds time,
+             std::size_t connection_count) {
+  std::vector<std::unique_ptr<OpenLoopLoad>> loads;
   for (std::size_t n = 0; n < kLoadThreads; ++n) {
-    loads.push_back(std::make_unique<OpenLoad>(port, rate / kLoadThreads, time,
-                                               width / kLoadThreads));
+    loads.push_back(std::make_unique<OpenLoopLoad>(
+        port, rate / kLoadThreads, time, connection_count / kLoadThreads));
   }
   const TimePoint start = Clock::now();
   std::vector<std::thread> threads;
--- a/bench/quarantine_bench.cc
+++ b/bench/quarantine_bench.cc
@@ -1,4 +1,5 @@
-// What the quarantine adds to each request while crashes are remembered.
+// Measures the time that the quarantine adds to each request while the tracker
+// holds crashes.
 //   cmake --build build --target quarantine_bench &&
 //   build/bench/quarantine_bench
 
@@ -14,26 +15,26 @@
 constexpr std::uint64_t kSeed = 1;
 constexpr std::uint64_t kSuspectsPerCrash = 6;
 
-CrashTracker LedgerWith(std::int64_t crashes, TimePoint now) {
-  CrashTracker ledger({}, kSeed);
+CrashTracker MakeTracker(std::int64_t crashes, TimePoint now) {
+  CrashTracker tracker({}, kSeed);
   std::uint64_t request = 0;
   for (std::int64_t n = 0; n < crashes; ++n) {
     const EndpointProcess endpoint{EndpointId("e" + std::to_string(n)), {}};
     for (std::uint64_t it = 0; it < kSuspectsPerCrash; ++it) {
-      ledger.Add({RequestFingerprint{++request}, endpoint, now}, now);
+      tracker.Add({RequestFingerprint{++request}, endpoint, now}, now);
     }
   }
-  return ledger;
+  return tracker;
 }
 
-// A request that nothing speaks against is judged, sent, and answered.
+// Judges and clears a request that is not a suspect of any crash.
 void BM_Innocent(benchmark::State& state) {
   const TimePoint now = TimePoint() + std::chrono::hours(10);
-  CrashTracker ledger = LedgerWith(state.range(0), now);
+  CrashTracker tracker = MakeTracker(state.range(0), now);
   RequestFingerprint request{~0ULL};
   for (auto _ : state) {
-    benchmark::DoNotOptimize(ledger.Judge(request, now));
-    benchmark::DoNotOptimize(ledger.Clear({request, now}, now));
+    benchmark::DoNotOptimize(tracker.Judge(request, now));
+    benchmark::DoNotOptimize(tracker.Clear({request, now}, now));
     --request.value;
   }
 }
