--- a/bench/proxy_bench.cc
+++ b/bench/proxy_bench.cc
@@ -1,4 +1,4 @@
-// Measures the latency that damasktack adds to a call on loopback. Each process
+// Measures the costs that damasktack adds to a call on loopback. Each process
 // of a run is this program in another role; misc/scripts/measure_proxy.sh
 // starts them.
 //
--- a/tests/soak/soak_run.cc
+++ b/tests/soak/soak_run.cc
@@ -16,7 +16,7 @@
 constexpr int kMaxExtraFaultMs = 2500;
 constexpr int kMaxGapMs = 500;
 constexpr int kMaxDelayMs = 120;
-// Time after the last fault from which time limits are guaranteed again, and
+// Time after the last fault after which time limits are guaranteed again, and
 // the time limit for a change to take effect.
 constexpr Duration kSettleTime = milliseconds(4500);
 constexpr Duration kChangeDeadline = milliseconds(2000);
@@ -37,8 +37,8 @@
 // some calls.
 constexpr double kMinServedFraction = 0.9;
 // Endpoints that one request may crash after the fault phase: three crashes
-// identify the request, and it may be sent three times more. Hosts may have
-// lost their crash records in the fault phase.
+// identify the request, and it may be sent three times more. Crashes in the
+// fault phase are not counted, since hosts can lose their crash records in it.
 constexpr int kMaxCrashes = 6;
 
 int StatusOf(const SocketAddress& at, const std::string& path) {
