--- a/bench/admission_retry_bench.cc
+++ b/bench/admission_retry_bench.cc
@@ -59,13 +59,13 @@
   double last_sends() const { return static_cast<double>(last_sends_); }
 
  private:
-  Answer Call(std::size_t hop, bool is_repeat) {
+  Answer Call(std::size_t hop, bool is_retry) {
     ServiceBalancer& balancer = hops_[hop];
     CallOffer offer;
     offer.token = ++token_;
     offer.customer = CustomerId("inspectors");
     offer.idempotent = true;
-    offer.is_repeat = is_repeat;
+    offer.is_retry = is_retry;
     offer.arrival = now_;
     offer.deadline = now_ + std::chrono::seconds(10);
     Decisions out;
@@ -76,7 +76,7 @@
       if (!endpoint) {
         return {SendResult::kFailed, forwarding_.outcome};
       }
-      answer = Send(hop, is_repeat || (forwarding_.attempt && sends > 1));
+      answer = Send(hop, is_retry || (forwarding_.attempt && sends > 1));
       SendEnd end;
       end.token = offer.token;
       end.endpoint = *endpoint;
@@ -105,9 +105,9 @@
     return endpoint;
   }
 
-  Answer Send(std::size_t hop, bool is_repeat) {
+  Answer Send(std::size_t hop, bool is_retry) {
     if (hop + 1 < kDepth) {
-      return Call(hop + 1, is_repeat);
+      return Call(hop + 1, is_retry);
     }
     ++last_sends_;
     const bool fails = UniformBelow(random_, 1000) < failure_rate_ * 1000;
--- a/bench/fleet_change_bench.cc
+++ b/bench/fleet_change_bench.cc
@@ -29,7 +29,7 @@
   void OnInForce(const Document& /*document*/) override {}
   void OnRefused(DocumentName /*name*/,
                  const DocumentRefusal& /*refusal*/) override {}
-  void OnHeardDrain(const DrainObservation& /*observation*/) override {}
+  void OnPeerDrainObserved(const DrainObservation& /*observation*/) override {}
 };
 
 using Nodes = std::vector<std::unique_ptr<FleetNode>>;
