--- a/bench/load_experiment_bench.cc
+++ b/bench/load_experiment_bench.cc
@@ -231,23 +231,26 @@
           LoadEmulator(scenario.service, scenario.load, policy.make, seed)
               .Run();
       const auto calls = static_cast<double>(figures.calls);
-      worth.values.push_back(figures.Worth());
+      worth.values.push_back(figures.WeightedOnTimeShare());
       served.values.push_back(figures.Served());
       if (policy.name == "oracle") {
-        oracle_worth.push_back(figures.Worth());
+        oracle_worth.push_back(figures.WeightedOnTimeShare());
       }
-      regret.values.push_back(oracle_worth[seed - 1] - figures.Worth());
+      regret.values.push_back(oracle_worth[seed - 1] -
+                              figures.WeightedOnTimeShare());
       probes += static_cast<double>(figures.probes) / calls / seeds;
       cross_zone_sends +=
           static_cast<double>(figures.other_zone_sends) / calls / seeds;
       cold += static_cast<double>(figures.cold_sends) / calls / seeds;
-      peak_cold_rate = std::max(peak_cold_rate, figures.worst_cold_second);
+      peak_cold_rate =
+          std::max(peak_cold_rate, figures.max_cold_sends_per_second);
       csv << scenario.name << ',' << policy.name << ',' << seed << ','
-          << figures.Worth() << ',' << figures.Served() << ',' << figures.calls
-          << ',' << figures.on_time << ',' << figures.late << ','
-          << figures.refused << ',' << figures.failed << ',' << figures.probes
-          << ',' << figures.other_zone_sends << ',' << figures.cold_sends << ','
-          << figures.worst_cold_second << '\n';
+          << figures.WeightedOnTimeShare() << ',' << figures.Served() << ','
+          << figures.calls << ',' << figures.on_time << ',' << figures.late
+          << ',' << figures.refused << ',' << figures.failed << ','
+          << figures.probes << ',' << figures.other_zone_sends << ','
+          << figures.cold_sends << ',' << figures.max_cold_sends_per_second
+          << '\n';
     }
     std::printf(
         "%-15s %-10s %7.4f %6.4f %7.4f %7.4f %6.4f %7.2f %9.2f %7.3f "
--- a/standin/load_emulator.h
+++ b/standin/load_emulator.h
@@ -57,7 +57,7 @@
   int believed_hosts = 0;
   // Whether each host has a seat; hosts that believe in fewer share
   // number_count.
-  bool have_seats = true;
+  bool have_host_numbers = true;
   double calls_per_second = 180;
   double middle_factor = 1;
   Duration objective = std::chrono::milliseconds(200);
@@ -89,10 +89,10 @@
   std::uint64_t other_zone_sends = 0;
   // Calls that reached cold servers, and the most at one within a second.
   std::uint64_t cold_sends = 0;
-  std::uint64_t worst_cold_second = 0;
+  std::uint64_t max_cold_sends_per_second = 0;
 
   // A late answer is worth a tenth of one that is on time.
-  double Worth() const;
+  double WeightedOnTimeShare() const;
   double Served() const;
 };
 
--- a/tests/platform/test_kv_client.cc
+++ b/tests/platform/test_kv_client.cc
@@ -274,17 +274,17 @@
   StandinStore store;
   store.PutJson("op/config", kBook);
   KvClient client({"127.0.0.1", store.port()});
-  store.ForgetHistory();
+  store.DropHistory();
   auto fault = Fault([&] { return client.Watch(1, milliseconds(20)); });
   REQUIRE(fault);
   CHECK(fault->kind == ErrorKind::kStale);
   for (const int status : {429, 503}) {
-    store.RefuseWith(status);
+    store.SetErrorStatus(status);
     fault = Fault([&] { return client.ReadAll(seconds(1)); });
     REQUIRE(fault);
     CHECK(fault->kind == ErrorKind::kRefused);
   }
-  store.RefuseWith(0);
+  store.SetErrorStatus(0);
   // The client is usable after each failure.
   CHECK(!Fault([&] { return client.ReadAll(seconds(1)); }));
   KvClient nobody({"127.0.0.1", 1});
--- a/tests/soak/cold_flood_run.h
+++ b/tests/soak/cold_flood_run.h
@@ -6,9 +6,9 @@
 #include <vector>
 
 #include "tests/soak/cold_callers.h"
-#include "tests/soak/cold_returns.h"
+#include "tests/soak/cold_phase_injector.h"
 #include "tests/soak/soak_fleet.h"
-#include "tests/soak/soak_ledger.h"
+#include "tests/soak/soak_recorder.h"
 
 namespace damasktack {
 
@@ -53,9 +53,9 @@
 
   const ColdFloodPlan plan_;
   std::mt19937_64 random_;
-  SoakLedger ledger_;
+  SoakRecorder ledger_;
   SoakFleet fleet_;
-  ColdReturns cold_phases_;
+  ColdPhaseInjector cold_phases_;
   std::vector<Pause> pauses_;
 };
 
--- a/tests/soak/cold_returns.cc
+++ b/tests/soak/cold_phase_injector.cc
@@ -1,4 +1,4 @@
-#include "tests/soak/cold_returns.h"
+#include "tests/soak/cold_phase_injector.h"
 
 #include <algorithm>
 #include <string>
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void ColdReturns::Begin(double part, TimePoint now) {
+void ColdPhaseInjector::Begin(double part, TimePoint now) {
   std::bernoulli_distribution is_chosen(part);
   std::uniform_int_distribution<int> report_delay_ms(0, kMaxReportDelayMs);
   for (int n = 0; n < fleet_.cold_endpoints().size(); ++n) {
@@ -24,7 +24,7 @@
   }
 }
 
-void ColdReturns::Tick(TimePoint now) {
+void ColdPhaseInjector::Tick(TimePoint now) {
   std::erase_if(pending_reports_, [&](const PendingReport& it) {
     const bool is_due = it.due <= now;
     if (is_due) {
@@ -34,7 +34,8 @@
   });
 }
 
-std::vector<std::size_t> ColdReturns::CheckPeakRates(SoakLedger& ledger) const {
+std::vector<std::size_t> ColdPhaseInjector::CheckPeakRates(
+    SoakRecorder& ledger) const {
   std::vector<std::size_t> seconds;
   for (int n = 0; n < fleet_.cold_endpoints().size(); ++n) {
     const SlotEndpoint& endpoint = fleet_.cold_endpoints().at(n);
--- a/tests/soak/cold_returns.h
+++ b/tests/soak/cold_phase_injector.h
@@ -1,20 +1,20 @@
-#ifndef TESTS_SOAK_COLD_RETURNS_H_
-#define TESTS_SOAK_COLD_RETURNS_H_
+#ifndef TESTS_SOAK_COLD_PHASE_INJECTOR_H_
+#define TESTS_SOAK_COLD_PHASE_INJECTOR_H_
 
 #include <cstdint>
 #include <random>
 #include <vector>
 
 #include "tests/soak/soak_fleet.h"
-#include "tests/soak/soak_ledger.h"
+#include "tests/soak/soak_recorder.h"
 
 namespace damasktack {
 
 // Makes endpoints of a fleet cold, and publishes this in the endpoint list
 // after a random delay.
-class ColdReturns {
+class ColdPhaseInjector {
  public:
-  ColdReturns(SoakFleet& fleet, std::uint64_t seed)
+  ColdPhaseInjector(SoakFleet& fleet, std::uint64_t seed)
       : fleet_(fleet), random_(seed) {}
 
   // Makes each endpoint cold with probability `part`.
@@ -24,7 +24,7 @@
   // Returns for each endpoint the largest number of requests that arrived
   // within one second while it was cold. Records a violation where this exceeds
   // the limit.
-  std::vector<std::size_t> CheckPeakRates(SoakLedger& ledger) const;
+  std::vector<std::size_t> CheckPeakRates(SoakRecorder& ledger) const;
 
  private:
   struct PendingReport {
@@ -39,4 +39,4 @@
 
 }  // namespace damasktack
 
-#endif  // TESTS_SOAK_COLD_RETURNS_H_
+#endif  // TESTS_SOAK_COLD_PHASE_INJECTOR_H_
--- a/tests/soak/soak_callers.cc
+++ b/tests/soak/soak_callers.cc
@@ -27,7 +27,7 @@
 }  // namespace
 
 SoakCallers::SoakCallers(const SoakFleet& fleet,
-                         SoakLedger& ledger,
+                         SoakRecorder& ledger,
                          std::uint64_t seed)
     : fleet_(fleet),
       ledger_(ledger),
--- a/tests/soak/soak_callers.h
+++ b/tests/soak/soak_callers.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "tests/soak/soak_fleet.h"
-#include "tests/soak/soak_ledger.h"
+#include "tests/soak/soak_recorder.h"
 
 namespace damasktack {
 
@@ -17,7 +17,7 @@
 // one.
 class SoakCallers {
  public:
-  SoakCallers(const SoakFleet& fleet, SoakLedger& ledger, std::uint64_t seed);
+  SoakCallers(const SoakFleet& fleet, SoakRecorder& ledger, std::uint64_t seed);
   ~SoakCallers();
 
   // Requests sent, and those that got status 200, since the last TakeCounts().
@@ -41,7 +41,7 @@
   void QueryVersion(int host, int version, SeenVersion& seen);
 
   const SoakFleet& fleet_;
-  SoakLedger& ledger_;
+  SoakRecorder& ledger_;
   const std::string prefix_;
   std::atomic<bool> stopping_ = false;
   std::atomic<int> next_ = 0;
--- a/tests/soak/soak_endpoint.cc
+++ b/tests/soak/soak_endpoint.cc
@@ -19,7 +19,7 @@
 
 SoakEndpoint::SoakEndpoint(std::string id,
                            std::string service,
-                           SoakLedger& ledger)
+                           SoakRecorder& ledger)
     : service_(std::move(service)),
       ledger_(ledger),
       id_(std::move(id)),
--- a/tests/soak/soak_endpoint.h
+++ b/tests/soak/soak_endpoint.h
@@ -8,7 +8,7 @@
 #include <thread>
 
 #include "core/time.h"
-#include "tests/soak/soak_ledger.h"
+#include "tests/soak/soak_recorder.h"
 
 namespace httplib {
 class Server;
@@ -23,7 +23,7 @@
 // executed.
 class SoakEndpoint {
  public:
-  SoakEndpoint(std::string id, std::string service, SoakLedger& ledger);
+  SoakEndpoint(std::string id, std::string service, SoakRecorder& ledger);
   ~SoakEndpoint();
 
   std::uint16_t port() const { return port_; }
@@ -52,7 +52,7 @@
   void SetLimitHeaders(httplib::Response& res) const;
 
   const std::string service_;
-  SoakLedger& ledger_;
+  SoakRecorder& ledger_;
   mutable std::mutex mutex_;
   std::string id_;
   std::atomic<bool> is_full_ = false;
--- a/tests/soak/soak_fleet.cc
+++ b/tests/soak/soak_fleet.cc
@@ -76,7 +76,7 @@
 
 }  // namespace
 
-SoakFleet::SoakFleet(const SoakSize& size, SoakLedger& ledger)
+SoakFleet::SoakFleet(const SoakSize& size, SoakRecorder& ledger)
     : ledger_(ledger),
       folder_(MakeFolder()),
       ip_(UniqueLoopbackAddress()),
--- a/tests/soak/soak_fleet.h
+++ b/tests/soak/soak_fleet.h
@@ -13,7 +13,7 @@
 #include "tests/soak/fault_proxy.h"
 #include "tests/soak/slot_endpoints.h"
 #include "tests/soak/soak_endpoint.h"
-#include "tests/soak/soak_ledger.h"
+#include "tests/soak/soak_recorder.h"
 #include "tests/support/crashing_endpoint.h"
 #include "tests/system/child_process.h"
 
@@ -32,7 +32,7 @@
 // threads may read the counters.
 class SoakFleet {
  public:
-  SoakFleet(const SoakSize& size, SoakLedger& ledger);
+  SoakFleet(const SoakSize& size, SoakRecorder& ledger);
   ~SoakFleet();
 
   int hosts() const { return static_cast<int>(hosts_.size()); }
@@ -125,7 +125,7 @@
   void PutFragileEndpoints();
   void CheckStop(int n, TimePoint now);
 
-  SoakLedger& ledger_;
+  SoakRecorder& ledger_;
   const std::string folder_;
   // Each run has its own loopback address, so that a concurrent run can't take
   // the port of a host that is being restarted.
--- a/tests/soak/soak_ledger.cc
+++ b/tests/soak/soak_recorder.cc
@@ -1,4 +1,4 @@
-#include "tests/soak/soak_ledger.h"
+#include "tests/soak/soak_recorder.h"
 
 #include <algorithm>
 
@@ -16,44 +16,44 @@
 
 }  // namespace
 
-void SoakLedger::RecordSent(const std::string& call, bool idempotent) {
+void SoakRecorder::RecordSent(const std::string& call, bool idempotent) {
   const std::lock_guard lock(mutex_);
   calls_[call].is_known = true;
   calls_[call].idempotent = idempotent;
 }
 
-void SoakLedger::RecordRun(const std::string& call) {
+void SoakRecorder::RecordRun(const std::string& call) {
   const std::lock_guard lock(mutex_);
   ++calls_[call].runs;
 }
 
-void SoakLedger::RecordArrival(const std::string& call) {
+void SoakRecorder::RecordArrival(const std::string& call) {
   const std::lock_guard lock(mutex_);
   ++calls_[call].arrivals;
 }
 
-void SoakLedger::RecordAnswer(const std::string& call, int status) {
+void SoakRecorder::RecordAnswer(const std::string& call, int status) {
   const std::lock_guard lock(mutex_);
   calls_[call].status = status;
 }
 
-void SoakLedger::AddViolation(std::string text) {
+void SoakRecorder::AddViolation(std::string text) {
   const std::lock_guard lock(mutex_);
   violations_.push_back(std::move(text));
 }
 
-std::size_t SoakLedger::calls() const {
+std::size_t SoakRecorder::calls() const {
   const std::lock_guard lock(mutex_);
   return calls_.size();
 }
 
-std::size_t SoakLedger::answered(int status) const {
+std::size_t SoakRecorder::answered(int status) const {
   const std::lock_guard lock(mutex_);
   return static_cast<std::size_t>(std::ranges::count_if(
       calls_, [&](const auto& it) { return it.second.status == status; }));
 }
 
-std::vector<std::string> SoakLedger::Violations() const {
+std::vector<std::string> SoakRecorder::Violations() const {
   const std::lock_guard lock(mutex_);
   std::vector<std::string> found = violations_;
   double retries = 0;
--- a/tests/soak/soak_ledger.h
+++ b/tests/soak/soak_recorder.h
@@ -1,5 +1,5 @@
-#ifndef TESTS_SOAK_SOAK_LEDGER_H_
-#define TESTS_SOAK_SOAK_LEDGER_H_
+#ifndef TESTS_SOAK_SOAK_RECORDER_H_
+#define TESTS_SOAK_SOAK_RECORDER_H_
 
 #include <cstdint>
 #include <map>
@@ -12,7 +12,7 @@
 // Records by request id which responses callers got and what endpoints
 // executed, and reports where the two violate the guarantees of the load
 // balancer. Thread-safe.
-class SoakLedger {
+class SoakRecorder {
  public:
   // Records a request sent by a caller. If it is not `idempotent`, it may be
   // executed at most once.
@@ -46,4 +46,4 @@
 
 }  // namespace damasktack
 
-#endif  // TESTS_SOAK_SOAK_LEDGER_H_
+#endif  // TESTS_SOAK_SOAK_RECORDER_H_
--- a/tests/soak/soak_run.cc
+++ b/tests/soak/soak_run.cc
@@ -129,11 +129,11 @@
 
 void SoakRun::BeginStoreFault() {
   if (Draw(3) == 0) {
-    fleet_.store().ForgetHistory();
+    fleet_.store().DropHistory();
     return;
   }
-  fleet_.store().RefuseWith(Draw(2) == 0 ? 503 : 429);
-  RecoverLater([this] { fleet_.store().RefuseWith(0); });
+  fleet_.store().SetErrorStatus(Draw(2) == 0 ? 503 : 429);
+  RecoverLater([this] { fleet_.store().SetErrorStatus(0); });
 }
 
 void SoakRun::BeginEndpointFault() {
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -8,10 +8,10 @@
 #include <vector>
 
 #include "tests/soak/cold_callers.h"
-#include "tests/soak/cold_returns.h"
+#include "tests/soak/cold_phase_injector.h"
 #include "tests/soak/soak_callers.h"
 #include "tests/soak/soak_fleet.h"
-#include "tests/soak/soak_ledger.h"
+#include "tests/soak/soak_recorder.h"
 
 namespace damasktack {
 
@@ -73,10 +73,10 @@
 
   const SoakPlan plan_;
   std::mt19937_64 random_;
-  SoakLedger ledger_;
+  SoakRecorder ledger_;
   SoakFleet fleet_;
   std::mt19937_64 cold_random_;
-  ColdReturns cold_phases_;
+  ColdPhaseInjector cold_phases_;
   TimePoint next_cold_phase_;
   std::vector<PendingRecovery> pending_recoveries_;
   int faults_ = 0;
--- a/tests/soak/test_soak_ledger.cc
+++ b/tests/soak/test_soak_ledger.cc
@@ -1,12 +1,12 @@
 #include <doctest/doctest.h>
 
-#include "tests/soak/soak_ledger.h"
+#include "tests/soak/soak_recorder.h"
 
 namespace damasktack {
 namespace {
 
 TEST_CASE("the ledger reports no violation for correct responses") {
-  SoakLedger ledger;
+  SoakRecorder ledger;
   ledger.RecordSent("read", true);
   ledger.RecordSent("write", false);
   ledger.RecordSent("refused", false);
@@ -21,7 +21,7 @@
 }
 
 TEST_CASE("the ledger reports each kind of violation") {
-  SoakLedger ledger;
+  SoakRecorder ledger;
   for (const char* it : {"twice", "refused", "empty"}) {
     ledger.RecordSent(it, false);
   }
--- a/tests/standin/test_load_emulator.cc
+++ b/tests/standin/test_load_emulator.cc
@@ -55,8 +55,8 @@
   const EmulatedService service;
   EmulatedLoad load;
   load.middle_factor = 1.7;
-  CHECK(Play(service, load, Oracle).Worth() >
-        Play(service, load, Measured(service.zones)).Worth());
+  CHECK(Play(service, load, Oracle).WeightedOnTimeShare() >
+        Play(service, load, Measured(service.zones)).WeightedOnTimeShare());
 }
 
 // Callers wait in a burst while some servers are nearly idle. A quarter of the
@@ -69,7 +69,7 @@
   load.middle_factor = 1.7;
   const EmulatedFigures figures = Play(service, load, Measured(service.zones));
   // 0.830 with a slowdown of 1.15 and calls held for 25 ms, 0.853 since.
-  CHECK(figures.Worth() > 0.842);
+  CHECK(figures.WeightedOnTimeShare() > 0.842);
   CHECK(figures.Served() > 0.90);
 }
 
@@ -86,7 +86,8 @@
   load.objective = std::chrono::milliseconds(400);
   load.deadline = std::chrono::milliseconds(1200);
   // 0.663 before, 0.712 since.
-  CHECK(Play(service, load, Measured(service.zones)).Worth() > 0.69);
+  CHECK(Play(service, load, Measured(service.zones)).WeightedOnTimeShare() >
+        0.69);
 }
 
 // Bytes between zones are billed. While the own zone's servers are free, hardly
@@ -97,7 +98,7 @@
   load.calls_per_second = 100;
   const EmulatedFigures figures = Play(service, load, Measured(service.zones));
   CHECK(figures.other_zone_sends * 6 < figures.sends);
-  CHECK(figures.Worth() > 0.98);
+  CHECK(figures.WeightedOnTimeShare() > 0.98);
 }
 
 double ServedWhileRefusing(const EmulatedService& service,
@@ -141,9 +142,9 @@
   const BalancerFactory factory = Measured(service.zones, options);
   std::uint64_t worst = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    worst = std::max(
-        worst,
-        LoadEmulator(service, load, factory, seed).Run().worst_cold_second);
+    worst = std::max(worst, LoadEmulator(service, load, factory, seed)
+                                .Run()
+                                .max_cold_sends_per_second);
   }
   return worst;
 }
@@ -170,9 +171,9 @@
     service.cold_rate = 0;
     CHECK(WorstColdSecond(service, load) > kMostInASecond);
     service.cold_rate = kColdRate;
-    for (const bool have_seats : {true, false}) {
-      CAPTURE(have_seats);
-      load.have_seats = have_seats;
+    for (const bool have_host_numbers : {true, false}) {
+      CAPTURE(have_host_numbers);
+      load.have_host_numbers = have_host_numbers;
       service.cold_part = 1;
       CHECK(WorstColdSecond(service, load) <= kMostInASecond);
       service.cold_part = 0.4;
