--- a/tests/platform/test_foreign_entries.cc
+++ b/tests/platform/test_foreign_entries.cc
@@ -14,14 +14,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// An entry as an endpoint of the platform writes it.
-Json OwnEntry() {
+// A valid entry, as an endpoint writes it.
+Json ValidEntry() {
   return Json::parse(R"({"address":"10.128.0.9:8080","born":1764723600123,
 "info":{"service":"s","version":"v1","zone":"z","slots":6},
 "status":{"state":"ready","sequence":4,"cold_ms":900}})");
 }
 
-std::string Cbor(const Json& json) {
+std::string ToCbor(const Json& json) {
   std::string bytes;
   Json::to_cbor(json, bytes);
   return bytes;
@@ -34,9 +34,10 @@
   });
 }
 
-// `path` is "info.slots" or "address".
-Json With(std::string_view path, const Json& value) {
-  Json entry = OwnEntry();
+// Returns the valid entry with one field replaced. `path` has one or two
+// levels, such as "address" or "info.slots".
+Json EntryWith(std::string_view path, const Json& value) {
+  Json entry = ValidEntry();
   const std::size_t dot = path.find('.');
   if (dot == std::string_view::npos) {
     entry[std::string(path)] = value;
@@ -47,48 +48,48 @@
   return entry;
 }
 
-TEST_CASE("an entry tells of its endpoint's process and when it started") {
+TEST_CASE("an entry's start time is decoded, and may be missing") {
   PublishedEndpoint endpoint;
   REQUIRE(!CaptureError([&]() -> leaf::result<void> {
-    BOOST_LEAF_ASSIGN(endpoint, DecodeEndpoint("i-1", Cbor(OwnEntry())));
+    BOOST_LEAF_ASSIGN(endpoint, DecodeEndpoint("i-1", ToCbor(ValidEntry())));
     return {};
   }));
   CHECK(endpoint.spec.started_at == EndpointStart(milliseconds(1764723600123)));
-  Json former = OwnEntry();
-  former.erase("born");
-  CHECK(IsUsable("i-1", Cbor(former)));
+  Json without_start = ValidEntry();
+  without_start.erase("born");
+  CHECK(IsUsable("i-1", ToCbor(without_start)));
 }
 
-TEST_CASE("an entry with a field that is missing names no endpoint") {
+TEST_CASE("an entry with a missing field is rejected") {
   for (const std::string field : {"address", "info", "status"}) {
     CAPTURE(field);
-    Json entry = OwnEntry();
+    Json entry = ValidEntry();
     entry.erase(field);
-    CHECK(!IsUsable("i-1", Cbor(entry)));
+    CHECK(!IsUsable("i-1", ToCbor(entry)));
   }
   for (const std::string part : {"info", "status"}) {
-    for (const auto& [field, value] : OwnEntry()[part].items()) {
+    for (const auto& [field, value] : ValidEntry()[part].items()) {
       CAPTURE(field);
-      Json entry = OwnEntry();
+      Json entry = ValidEntry();
       entry[part].erase(field);
-      CHECK(!IsUsable("i-1", Cbor(entry)));
+      CHECK(!IsUsable("i-1", ToCbor(entry)));
     }
   }
 }
 
-TEST_CASE("an entry with a field of another type or range names no endpoint") {
-  const std::vector<Json> strangers = {nullptr,
-                                       true,
-                                       -1,
-                                       1.5,
-                                       "text",
-                                       Json::array({1}),
-                                       Json::object({{"a", 1}})};
+TEST_CASE("an entry with a field of a wrong type or out of range is rejected") {
+  const std::vector<Json> wrong_types = {nullptr,
+                                         true,
+                                         -1,
+                                         1.5,
+                                         "text",
+                                         Json::array({1}),
+                                         Json::object({{"a", 1}})};
   for (const std::string path :
        {"address", "born", "info", "info.service", "info.version", "info.zone",
         "info.slots", "status", "status.state", "status.sequence",
         "status.cold_ms"}) {
-    for (const Json& it : strangers) {
+    for (const Json& it : wrong_types) {
       const bool is_text_field = path == "info.service" ||
                                  path == "info.version" || path == "info.zone";
       if (is_text_field && it.is_string()) {
@@ -96,7 +97,7 @@
       }
       CAPTURE(path);
       CAPTURE(it.dump());
-      CHECK(!IsUsable("i-1", Cbor(With(path, it))));
+      CHECK(!IsUsable("i-1", ToCbor(EntryWith(path, it))));
     }
   }
   const std::vector<std::pair<std::string, Json>> out_of_range = {
@@ -120,74 +121,75 @@
       {"info.service", std::string(5000, 's')}};
   for (const auto& [path, value] : out_of_range) {
     CAPTURE(path);
-    CHECK(!IsUsable("i-1", Cbor(With(path, value))));
+    CHECK(!IsUsable("i-1", ToCbor(EntryWith(path, value))));
   }
 }
 
-TEST_CASE("bytes that are no entry name no endpoint") {
-  const std::string own = Cbor(OwnEntry());
+TEST_CASE("bytes that do not encode an entry are rejected") {
+  const std::string valid = ToCbor(ValidEntry());
   for (const std::string& it :
-       {std::string(), std::string("{"), std::string("\xff"), own + "x",
-        own.substr(0, own.size() / 2), Cbor(Json::array()), Cbor(7),
+       {std::string(), std::string("{"), std::string("\xff"), valid + "x",
+        valid.substr(0, valid.size() / 2), ToCbor(Json::array()), ToCbor(7),
         std::string(1U << 16U, '\x81'), std::string(1U << 16U, '\xa1')}) {
     CHECK(!IsUsable("i-1", it));
   }
 }
 
-// The id becomes a header of each request to the endpoint: with a line break in
-// it, whoever writes keys could add headers or whole requests.
-TEST_CASE("an id that cannot stand in a header names no endpoint") {
-  const std::string own = Cbor(OwnEntry());
-  CHECK(IsUsable("i-7f3a91c2", own));
+// The id is sent in a header of each request to the endpoint. With a line break
+// in the id, anyone who writes to the store could inject headers or requests.
+TEST_CASE("an id that is not valid in a header is rejected") {
+  const std::string valid = ToCbor(ValidEntry());
+  CHECK(IsUsable("i-7f3a91c2", valid));
   for (const std::string& it :
        {std::string(), std::string("a b"), std::string("a\r\nX: y"),
         std::string("a\0b", 3), std::string("\xc3\xa9"),
         std::string(192, 'i')}) {
-    CHECK(!IsUsable(it, own));
+    CHECK(!IsUsable(it, valid));
   }
 }
 
-// Callers are refused although endpoints are there: a mistaken writer has left
-// a thousand entries of its own between theirs, over several pages.
-TEST_CASE("a thousand foreign entries cost none of their neighbours") {
+// Guards against rejecting callers although endpoints are available: a faulty
+// writer has stored a thousand invalid entries between the valid ones, and the
+// read spans several pages.
+TEST_CASE("a thousand invalid entries do not affect the valid ones") {
   StandinStore store(100);
-  constexpr int kOwn = 30;
+  constexpr int kValidEntries = 30;
   for (int n = 0; n < 1000; ++n) {
     store.Put("servers/x-" + std::to_string(n),
-              n % 2 == 0 ? "\xff\xff" : Cbor(With("status.state", n)));
-    if (n < kOwn) {
-      store.Put("servers/i-" + std::to_string(n), Cbor(OwnEntry()));
+              n % 2 == 0 ? "\xff\xff" : ToCbor(EntryWith("status.state", n)));
+    if (n < kValidEntries) {
+      store.Put("servers/i-" + std::to_string(n), ToCbor(ValidEntry()));
     }
   }
-  store.Put("servers/" + std::string(190, '\x01'), Cbor(OwnEntry()));
+  store.Put("servers/" + std::string(190, '\x01'), ToCbor(ValidEntry()));
   KvClient client({"127.0.0.1", store.port()});
-  PublishedItems all;
+  PublishedItems read;
   REQUIRE(!CaptureError([&]() -> leaf::result<void> {
-    BOOST_LEAF_ASSIGN(all, client.ReadAll(seconds(5)));
+    BOOST_LEAF_ASSIGN(read, client.ReadAll(seconds(5)));
     return {};
   }));
   const auto count = [&](auto is_kind) {
     return std::ranges::count_if(
-        all.items, [&](const auto& it) { return is_kind(it.value); });
+        read.items, [&](const auto& it) { return is_kind(it.value); });
   };
   CHECK(count([](const auto& it) {
           return std::holds_alternative<PublishedEndpoint>(it);
-        }) == kOwn);
+        }) == kValidEntries);
   CHECK(count([](const auto& it) {
           return std::holds_alternative<UnusableEndpoint>(it);
         }) == 1001);
-  for (const PublishedItem& it : all.items) {
+  for (const PublishedItem& it : read.items) {
     if (const auto* unusable = std::get_if<UnusableEndpoint>(&it.value)) {
       CHECK(ToString(unusable->error).size() < 512);
     }
   }
 }
 
-// Whatever stands under a key, decoding ends, and what it lets through is fit
-// for use.
-TEST_CASE("bytes changed at random are refused or decoded, and nothing else") {
+// For any value, decoding terminates and accepts only usable endpoints.
+TEST_CASE(
+    "randomly changed bytes are either rejected or decoded to valid values") {
   CHECK(rc::check("mutations", [] {
-    std::string bytes = Cbor(OwnEntry());
+    std::string bytes = ToCbor(ValidEntry());
     const int changes = *rc::gen::inRange(1, 6);
     for (int n = 0; n < changes && !bytes.empty(); ++n) {
       const auto at = static_cast<std::size_t>(
@@ -215,7 +217,7 @@
       RC_ASSERT(!endpoint.service.empty());
       RC_ASSERT(endpoint.spec.started_at.time_since_epoch().count() >= 0);
     }
-    // The same bytes as a book, and as the store's own answer.
+    // Also decode the same bytes as a route table and as a watch response.
     CaptureError([&]() -> leaf::result<void> {
       BOOST_LEAF_CHECK(DecodeRouteTable(bytes));
       BOOST_LEAF_CHECK(DecodeKvEvents(bytes));
--- a/tests/platform/test_kv_client.cc
+++ b/tests/platform/test_kv_client.cc
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr auto kBook =
+constexpr auto kRouteTableJson =
     R"({"version":7,
 "routes":{"columns":["name","host","prefix","kind","timeout_ms",
   "target_latency_ms","priority","max_attempts","split","service","later",
@@ -32,19 +32,19 @@
  "max_body_bytes":1000,"header_timeout_ms":3000,"idle_timeout_ms":15000},
 "of-a-later-version":{"columns":[],"rows":[]}})";
 
-constexpr auto kEndpoint =
+constexpr auto kEndpointJson =
     R"({"address":"10.128.0.9:8080","info":{"service":"s","version":"v1",
 "zone":"z","slots":6},"status":{"state":"draining","sequence":4,
 "cold_ms":900},"later":true})";
 
-std::string Cbor(const std::string& json) {
+std::string ToCbor(const std::string& json) {
   std::string bytes;
   Json::to_cbor(Json::parse(json), bytes);
   return bytes;
 }
 
 template <typename Body>
-std::optional<Error> Fault(Body body) {
+std::optional<Error> ErrorOf(Body body) {
   return CaptureError([&]() -> leaf::result<void> {
     BOOST_LEAF_CHECK(body());
     return {};
@@ -64,38 +64,38 @@
   return value;
 }
 
-TEST_CASE("a published book is decoded into the product's own types") {
-  const auto book =
-      Require<RouteTable>([] { return DecodeRouteTable(Cbor(kBook)); });
-  CHECK(book.version == 7);
-  REQUIRE(book.routes.size() == 2);
-  const Route& safe = book.routes[0];
+TEST_CASE("a published route table is decoded") {
+  const auto route_table = Require<RouteTable>(
+      [] { return DecodeRouteTable(ToCbor(kRouteTableJson)); });
+  CHECK(route_table.version == 7);
+  REQUIRE(route_table.routes.size() == 2);
+  const Route& safe = route_table.routes[0];
   CHECK(safe.idempotent);
   CHECK(safe.timeout == milliseconds(1200));
   CHECK(safe.latency_objective == milliseconds(400));
   CHECK(safe.attempt_limit == 3);
   CHECK(safe.allowed_regions ==
         std::vector<RegionId>{RegionId("north"), RegionId("south")});
-  CHECK(book.routes[1].allowed_regions.empty());
+  CHECK(route_table.routes[1].allowed_regions.empty());
   CHECK(safe.targets ==
         std::vector<RouteTarget>{{ServiceId("s"), 90}, {ServiceId("t"), 10}});
-  // Both routes go to s, and the other one has the higher rank.
+  // Both routes target service s, and the other route has the higher priority.
   CHECK(safe.urgency == Urgency::kNormal);
-  CHECK(book.routes[1].urgency == Urgency::kUrgent);
-  CHECK(!book.routes[1].idempotent);
-  CHECK(book.routes[1].latency_objective == milliseconds(1500));
-  CHECK(book.services[0].connections == 260);
-  CHECK(book.services[0].cold_time == milliseconds(1500));
-  CHECK(book.services[0].cold_rate == 2);
-  CHECK(book.services[1].cold_rate == 0);
-  CHECK(book.limits.body_bytes == 1000);
-  CHECK(book.limits.idle_timeout == seconds(15));
-  CHECK(!Fault([&] { return CheckRouteTable(book); }));
+  CHECK(route_table.routes[1].urgency == Urgency::kUrgent);
+  CHECK(!route_table.routes[1].idempotent);
+  CHECK(route_table.routes[1].latency_objective == milliseconds(1500));
+  CHECK(route_table.services[0].connections == 260);
+  CHECK(route_table.services[0].cold_time == milliseconds(1500));
+  CHECK(route_table.services[0].cold_rate == 2);
+  CHECK(route_table.services[1].cold_rate == 0);
+  CHECK(route_table.limits.body_bytes == 1000);
+  CHECK(route_table.limits.idle_timeout == seconds(15));
+  CHECK(!ErrorOf([&] { return CheckRouteTable(route_table); }));
 }
 
 TEST_CASE("a published endpoint is decoded") {
   const auto endpoint = Require<PublishedEndpoint>(
-      [] { return DecodeEndpoint("i-1", Cbor(kEndpoint)); });
+      [] { return DecodeEndpoint("i-1", ToCbor(kEndpointJson)); });
   CHECK(endpoint.service == ServiceId("s"));
   CHECK(endpoint.spec.id == EndpointId("i-1"));
   CHECK(endpoint.spec.slots == 6);
@@ -103,9 +103,9 @@
   CHECK(endpoint.cold_for == milliseconds(900));
 }
 
-TEST_CASE("values that are cut, of a wrong type or incomplete are refused") {
-  const std::string book = kBook;
-  const std::string endpoint = kEndpoint;
+TEST_CASE("incomplete values and values of a wrong type are rejected") {
+  const std::string route_table = kRouteTableJson;
+  const std::string endpoint = kEndpointJson;
   const auto without = [](std::string text, const std::string& part) {
     return text.erase(text.find(part), part.size());
   };
@@ -114,15 +114,15 @@
     return text.replace(text.find(part), part.size(), other);
   };
   for (const std::string& it :
-       {std::string("[]"), without(book, R"("version":7,)"),
-        without(book, R"(1200,400,)"), with(book, "1200", "-1"),
-        with(book, "1200", "null"), with(book, "90", R"("many")"),
-        with(book, R"("routes")", R"("other")"),
-        with(book, R"("services":{)", R"("other":{)"),
-        with(book, R"("rows")", R"("lines")"),
-        with(book, R"("columns")", R"("names")")}) {
+       {std::string("[]"), without(route_table, R"("version":7,)"),
+        without(route_table, R"(1200,400,)"), with(route_table, "1200", "-1"),
+        with(route_table, "1200", "null"), with(route_table, "90", R"("many")"),
+        with(route_table, R"("routes")", R"("other")"),
+        with(route_table, R"("services":{)", R"("other":{)"),
+        with(route_table, R"("rows")", R"("lines")"),
+        with(route_table, R"("columns")", R"("names")")}) {
     CAPTURE(it);
-    const auto fault = Fault([&] { return DecodeRouteTable(Cbor(it)); });
+    const auto fault = ErrorOf([&] { return DecodeRouteTable(ToCbor(it)); });
     REQUIRE(fault);
     CHECK(!fault->remedy.empty());
   }
@@ -132,47 +132,49 @@
         with(endpoint, "10.128.0.9:8080", "nowhere"),
         with(endpoint, R"("slots":6)", R"("slots":0)")}) {
     CAPTURE(it);
-    CHECK(Fault([&] { return DecodeEndpoint("i-1", Cbor(it)); }));
+    CHECK(ErrorOf([&] { return DecodeEndpoint("i-1", ToCbor(it)); }));
   }
 }
 
-TEST_CASE("values cut at any byte are refused, and ones of endless nesting") {
-  for (const std::string& whole : {Cbor(kBook), Cbor(kEndpoint)}) {
+TEST_CASE("truncated and deeply nested values are rejected") {
+  for (const std::string& whole :
+       {ToCbor(kRouteTableJson), ToCbor(kEndpointJson)}) {
     for (std::size_t n = 0; n < whole.size(); ++n) {
       CAPTURE(n);
-      CHECK(Fault([&] { return DecodeRouteTable(whole.substr(0, n)); }));
-      CHECK(Fault([&] { return DecodeEndpoint("i", whole.substr(0, n)); }));
+      CHECK(ErrorOf([&] { return DecodeRouteTable(whole.substr(0, n)); }));
+      CHECK(ErrorOf([&] { return DecodeEndpoint("i", whole.substr(0, n)); }));
     }
   }
-  // One-element lists inside each other, and texts of unknown length: the JSON
-  // library reads both by recursion.
+  // 0x81 opens a list of one element, and 0x7f a text of indefinite length. The
+  // JSON library decodes both by recursion.
   for (const char it : {'\x81', '\x7f'}) {
     const std::string deep(1U << 20U, it);
-    CHECK(Fault([&] { return DecodeRouteTable(deep); }));
-    CHECK(Fault([&] { return DecodeKvPage(deep); }));
+    CHECK(ErrorOf([&] { return DecodeRouteTable(deep); }));
+    CHECK(ErrorOf([&] { return DecodeKvPage(deep); }));
   }
 }
 
-TEST_CASE("a book that could not be followed is refused as a whole") {
-  const auto broken = [](auto change) {
-    auto book =
-        Require<RouteTable>([] { return DecodeRouteTable(Cbor(kBook)); });
-    change(book);
-    return Fault([&] { return CheckRouteTable(book); }).has_value();
+TEST_CASE(
+    "a route table with an unusable route or service is rejected as a whole") {
+  const auto is_rejected = [](auto change) {
+    auto route_table = Require<RouteTable>(
+        [] { return DecodeRouteTable(ToCbor(kRouteTableJson)); });
+    change(route_table);
+    return ErrorOf([&] { return CheckRouteTable(route_table); }).has_value();
   };
-  CHECK(broken([](RouteTable& it) { it.routes[0].prefix = "x/"; }));
-  CHECK(broken([](RouteTable& it) { it.routes[0].prefix = "/x"; }));
-  CHECK(broken([](RouteTable& it) { it.routes[0].host.clear(); }));
-  CHECK(broken([](RouteTable& it) { it.routes[0].targets.clear(); }));
-  CHECK(broken([](RouteTable& it) { it.services.clear(); }));
-  CHECK(broken([](RouteTable& it) { it.version = 0; }));
+  CHECK(is_rejected([](RouteTable& it) { it.routes[0].prefix = "x/"; }));
+  CHECK(is_rejected([](RouteTable& it) { it.routes[0].prefix = "/x"; }));
+  CHECK(is_rejected([](RouteTable& it) { it.routes[0].host.clear(); }));
+  CHECK(is_rejected([](RouteTable& it) { it.routes[0].targets.clear(); }));
+  CHECK(is_rejected([](RouteTable& it) { it.services.clear(); }));
+  CHECK(is_rejected([](RouteTable& it) { it.version = 0; }));
 }
 
-TEST_CASE("all pages are read, and one bad value costs only itself") {
+TEST_CASE("all pages are read, and one bad value does not affect the others") {
   StandinStore store(2);
-  store.PutJson("op/config", kBook);
+  store.PutJson("op/config", kRouteTableJson);
   for (int n = 0; n < 5; ++n) {
-    store.PutJson("servers/i-" + std::to_string(n), kEndpoint);
+    store.PutJson("servers/i-" + std::to_string(n), kEndpointJson);
   }
   store.Put("servers/bad", "{");
   store.Put("other/key", "?");
@@ -188,12 +190,13 @@
   CHECK(unreadable == 1);
 }
 
-// Requests reach a zone that is drained: the drain's key is there, and nobody
-// looks at it. Whatever stands under the key, it drains the zone it names; one
-// that names none costs only itself, and the end of a drain is an event.
-TEST_CASE("drains of zones are read, in parts and by watches too") {
+// Guards against sending requests to a drained zone because its drain key was
+// ignored. The key alone drains the zone, whatever its value. A key without a
+// valid zone name does not affect the others, and the end of a drain is
+// reported as an event.
+TEST_CASE("zone drains are read by full reads, partial reads and watches") {
   StandinStore store(2);
-  store.PutJson("op/config", kBook);
+  store.PutJson("op/config", kRouteTableJson);
   store.PutJson("op/evacuate/evora-a", "{}");
   store.Put("op/evacuate/beja-b", "?");
   store.PutJson("op/evacuate/", "{}");
@@ -225,14 +228,16 @@
         PublishedValue(ZoneDrain{ZoneId("evora-a"), false}));
 }
 
-// A host that has just started is to serve by a part of what is published.
-TEST_CASE("a part holds the routes and the endpoints of one digit") {
+// A host that has just started serves with a partial read, before it has read
+// everything.
+TEST_CASE(
+    "a partial read returns the routes and the endpoints of one hex digit") {
   StandinStore store(4);
-  store.PutJson("op/config", kBook);
+  store.PutJson("op/config", kRouteTableJson);
   for (const char digit : std::string("0123456789abcdef")) {
     for (int n = 0; n < 5; ++n) {
       const std::string id = std::string("i-") + digit + std::to_string(n);
-      store.PutJson("servers/" + id, kEndpoint);
+      store.PutJson("servers/" + id, kEndpointJson);
     }
   }
   KvClient client({"127.0.0.1", store.port()});
@@ -250,17 +255,17 @@
   CHECK(all.items.size() == 80);
 }
 
-TEST_CASE("a watch tells of changes and removals, and ends without any") {
+TEST_CASE("a watch returns changes and removals, or nothing at its timeout") {
   StandinStore store;
-  store.PutJson("servers/i-1", kEndpoint);
+  store.PutJson("servers/i-1", kEndpointJson);
   KvClient client({"127.0.0.1", store.port()});
-  std::thread later([&] {
+  std::thread remover([&] {
     std::this_thread::sleep_for(milliseconds(30));
     store.Remove("servers/i-1");
   });
   const auto events =
       Require<PublishedItems>([&] { return client.Watch(1, seconds(5)); });
-  later.join();
+  remover.join();
   REQUIRE(events.items.size() == 1);
   CHECK(std::get<RemovedEndpoint>(events.items[0].value).id ==
         EndpointId("i-1"));
@@ -270,25 +275,26 @@
   CHECK(none.items.empty());
 }
 
-TEST_CASE("lost history, refusals and silence are told apart") {
+TEST_CASE(
+    "dropped history, error statuses and an unreachable store are told apart") {
   StandinStore store;
-  store.PutJson("op/config", kBook);
+  store.PutJson("op/config", kRouteTableJson);
   KvClient client({"127.0.0.1", store.port()});
   store.ForgetHistory();
-  auto fault = Fault([&] { return client.Watch(1, milliseconds(20)); });
+  auto fault = ErrorOf([&] { return client.Watch(1, milliseconds(20)); });
   REQUIRE(fault);
   CHECK(fault->kind == ErrorKind::kStale);
   for (const int status : {429, 503}) {
     store.RefuseWith(status);
-    fault = Fault([&] { return client.ReadAll(seconds(1)); });
+    fault = ErrorOf([&] { return client.ReadAll(seconds(1)); });
     REQUIRE(fault);
     CHECK(fault->kind == ErrorKind::kRefused);
   }
   store.RefuseWith(0);
-  // The client is usable after each failure.
-  CHECK(!Fault([&] { return client.ReadAll(seconds(1)); }));
-  KvClient nobody({"127.0.0.1", 1});
-  fault = Fault([&] { return nobody.ReadAll(seconds(1)); });
+  // The client remains usable after the failures.
+  CHECK(!ErrorOf([&] { return client.ReadAll(seconds(1)); }));
+  KvClient unreachable({"127.0.0.1", 1});
+  fault = ErrorOf([&] { return unreachable.ReadAll(seconds(1)); });
   REQUIRE(fault);
   CHECK(fault->kind == ErrorKind::kUnreachable);
 }
