--- a/tests/contract/test_contract_diff.cc
+++ b/tests/contract/test_contract_diff.cc
@@ -34,7 +34,7 @@
   CHECK(changes[2].kind == ContractChangeKind::kChanged);
   CHECK(changes[2].fields ==
         std::vector<FieldChange>{{"limits.calls_per_second", "no bound", "5"}});
-  CHECK(changes[3].kind == ContractChangeKind::kDisplaced);
+  CHECK(changes[3].kind == ContractChangeKind::kShareChanged);
   CHECK(changes[3].fields.empty());
 }
 
