--- a/standin/load_emulator.cc
+++ b/standin/load_emulator.cc
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-double EmulatedFigures::Worth() const {
+double EmulatedFigures::WeightedOnTimeShare() const {
   return (static_cast<double>(on_time) +
           kLateWeight * static_cast<double>(late)) /
          static_cast<double>(std::max<std::uint64_t>(calls, 1));
@@ -60,7 +60,7 @@
     hosts_[n].zone = static_cast<int>(n) % service_.zones;
     hosts_[n].balancer = factory(static_cast<int>(n), seed * 1000 + n);
     if (hosts_[n].balancer) {
-      if (load.have_seats) {
+      if (load.have_host_numbers) {
         hosts_[n].balancer->SetHostNumber(HostNumberOf(n));
       }
       hosts_[n].balancer->SetService(
@@ -460,8 +460,8 @@
     cold_arrivals.pop_front();
   }
   ++figures_.cold_sends;
-  figures_.worst_cold_second =
-      std::max<std::uint64_t>(figures_.worst_cold_second, cold_arrivals.size());
+  figures_.max_cold_sends_per_second = std::max<std::uint64_t>(
+      figures_.max_cold_sends_per_second, cold_arrivals.size());
 }
 
 EndpointReport LoadEmulator::ReportOf(std::size_t server) const {
--- a/standin/load_emulator.h
+++ b/standin/load_emulator.h
@@ -61,7 +61,7 @@
   int believed_hosts = 0;
   // Whether hosts have host numbers. Where hosts assume fewer hosts than there
   // are, several share a number.
-  bool have_seats = true;
+  bool have_host_numbers = true;
   double calls_per_second = 180;
   double middle_factor = 1;
   Duration objective = std::chrono::milliseconds(200);
@@ -95,11 +95,11 @@
   // Calls that reached cold servers, and the maximum at one server within any
   // second.
   std::uint64_t cold_sends = 0;
-  std::uint64_t worst_cold_second = 0;
+  std::uint64_t max_cold_sends_per_second = 0;
 
   // Returns the fraction of calls that were answered on time, plus a tenth of
   // the fraction answered late.
-  double Worth() const;
+  double WeightedOnTimeShare() const;
   // Returns the fraction of calls that were answered, on time or late.
   double Served() const;
 };
--- a/tests/platform/test_kv_client.cc
+++ b/tests/platform/test_kv_client.cc
@@ -280,17 +280,17 @@
   StandinStore store;
   store.PutJson("op/config", kRouteTableJson);
   KvClient client({"127.0.0.1", store.port()});
-  store.ForgetHistory();
+  store.DropHistory();
   auto fault = ErrorOf([&] { return client.Watch(1, milliseconds(20)); });
   REQUIRE(fault);
   CHECK(fault->kind == ErrorKind::kStale);
   for (const int status : {429, 503}) {
-    store.RefuseWith(status);
+    store.SetErrorStatus(status);
     fault = ErrorOf([&] { return client.ReadAll(seconds(1)); });
     REQUIRE(fault);
     CHECK(fault->kind == ErrorKind::kRefused);
   }
-  store.RefuseWith(0);
+  store.SetErrorStatus(0);
   // The client remains usable after the failures.
   CHECK(!ErrorOf([&] { return client.ReadAll(seconds(1)); }));
   KvClient unreachable({"127.0.0.1", 1});
--- a/tests/platform/test_platform_reader.cc
+++ b/tests/platform/test_platform_reader.cc
@@ -51,8 +51,8 @@
 
 struct Fixture {
   Fixture() {
-    options.schedule.shortest_backoff = milliseconds(20);
-    options.schedule.longest_backoff = milliseconds(50);
+    options.schedule.min_backoff = milliseconds(20);
+    options.schedule.max_backoff = milliseconds(50);
     options.schedule.start_spread = milliseconds(10);
     options.watch = milliseconds(200);
     port = platform.Start(0);
--- a/tests/standin/test_load_emulator.cc
+++ b/tests/standin/test_load_emulator.cc
@@ -58,8 +58,9 @@
   const EmulatedService service;
   EmulatedLoad load;
   load.middle_factor = 1.7;
-  CHECK(RunSeeds(service, load, OracleFactory).Worth() >
-        RunSeeds(service, load, MeasuredFactory(service.zones)).Worth());
+  CHECK(RunSeeds(service, load, OracleFactory).WeightedOnTimeShare() >
+        RunSeeds(service, load, MeasuredFactory(service.zones))
+            .WeightedOnTimeShare());
 }
 
 // Guards against callers waiting in a burst while some servers are nearly idle.
@@ -74,7 +75,7 @@
       RunSeeds(service, load, MeasuredFactory(service.zones));
   // 0.830 with a slowdown of 1.15 and calls held for 25 ms; 0.853 with the
   // present settings.
-  CHECK(figures.Worth() > 0.842);
+  CHECK(figures.WeightedOnTimeShare() > 0.842);
   CHECK(figures.Served() > 0.90);
 }
 
@@ -91,7 +92,8 @@
   load.objective = std::chrono::milliseconds(400);
   load.deadline = std::chrono::milliseconds(1200);
   // 0.663 when the failure occurred; 0.712 with the present policy.
-  CHECK(RunSeeds(service, load, MeasuredFactory(service.zones)).Worth() > 0.69);
+  CHECK(RunSeeds(service, load, MeasuredFactory(service.zones))
+            .WeightedOnTimeShare() > 0.69);
 }
 
 // Traffic between zones is billed. While the servers of the own zone have free
@@ -104,7 +106,7 @@
   const EmulatedFigures figures =
       RunSeeds(service, load, MeasuredFactory(service.zones));
   CHECK(figures.other_zone_sends * 6 < figures.sends);
-  CHECK(figures.Worth() > 0.98);
+  CHECK(figures.WeightedOnTimeShare() > 0.98);
 }
 
 double ServedWithRetryBudget(const EmulatedService& service,
@@ -150,9 +152,9 @@
   const BalancerFactory factory = MeasuredFactory(service.zones, options);
   std::uint64_t worst = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    worst = std::max(
-        worst,
-        LoadEmulator(service, load, factory, seed).Run().worst_cold_second);
+    worst = std::max(worst, LoadEmulator(service, load, factory, seed)
+                                .Run()
+                                .max_cold_sends_per_second);
   }
   return worst;
 }
@@ -180,9 +182,9 @@
     service.cold_rate = 0;
     CHECK(MaxColdSendsInAnySecond(service, load) > kMaxCallsInAnySecond);
     service.cold_rate = kColdRate;
-    for (const bool have_seats : {true, false}) {
-      CAPTURE(have_seats);
-      load.have_seats = have_seats;
+    for (const bool have_host_numbers : {true, false}) {
+      CAPTURE(have_host_numbers);
+      load.have_host_numbers = have_host_numbers;
       service.cold_part = 1;
       CHECK(MaxColdSendsInAnySecond(service, load) <= kMaxCallsInAnySecond);
       service.cold_part = 0.4;
