--- a/main/daemon.cc
+++ b/main/daemon.cc
@@ -29,8 +29,8 @@
   options.incarnation = incarnation;
   options.gates = gates;
   options.platform = platform.address;
-  options.reader.schedule.shortest_backoff = platform.retry;
-  options.reader.schedule.longest_backoff = platform.longest_retry;
+  options.reader.schedule.min_backoff = platform.retry;
+  options.reader.schedule.max_backoff = platform.longest_retry;
   options.reader.schedule.safety_read = platform.safety_read;
   options.reader.schedule.start_spread = platform.start_spread;
   options.reader.watch = platform.watch;
@@ -119,7 +119,7 @@
                 ToString(refusal.error));
 }
 
-void Daemon::OnHeardDrain(const DrainObservation& observation) {
+void Daemon::OnPeerDrainObserved(const DrainObservation& observation) {
   if (const auto dispatcher = state_.FindDispatcher(observation.service)) {
     dispatcher->OnPeerDrain(observation.endpoint, Clock::now());
   }
@@ -130,7 +130,7 @@
 void Daemon::RelayDrains() {
   while (!ended_) {
     for (const auto& [service, dispatcher] : state_.dispatchers()) {
-      for (const EndpointId& it : dispatcher->TakeDrainSightings()) {
+      for (const EndpointId& it : dispatcher->TakeDrainObservations()) {
         fleet_.BroadcastDrain({service, it});
       }
     }
--- a/main/daemon.h
+++ b/main/daemon.h
@@ -45,7 +45,7 @@
  private:
   void OnInForce(const Document& document) override;
   void OnRefused(DocumentName name, const DocumentRefusal& refusal) override;
-  void OnHeardDrain(const DrainObservation& observation) override;
+  void OnPeerDrainObserved(const DrainObservation& observation) override;
   void PutInForce();
   void RelayDrains();
   void WaitForHandover() const;
--- a/main/fleet_metrics.cc
+++ b/main/fleet_metrics.cc
@@ -72,7 +72,7 @@
       {"documents_refused_total", "", documents.refused},
       {"documents_conflicts_total", "", documents.conflicts},
       {"documents_digests_sent_total", "", documents.digests_sent},
-      {"documents_asks_sent_total", "", documents.asks_sent},
+      {"documents_asks_sent_total", "", documents.requests_sent},
       {"documents_pushes_sent_total", "", documents.pushes_sent},
   };
   Render("counter", samples, out);
--- a/main/fleet_node.cc
+++ b/main/fleet_node.cc
@@ -58,8 +58,8 @@
   transport.fleet_key = options.fleet.key;
   transport.listen_ip = options.fleet.listen.ip;
   transport.listen_port = options.fleet.listen.port;
-  transport.largest_frame = kMaxPeerFrameBytes;
-  transport.cut_file = options.fleet.test_cut_file;
+  transport.max_frame_bytes = kMaxPeerFrameBytes;
+  transport.blocked_hosts_file = options.fleet.test_cut_file;
   return transport;
 }
 
@@ -146,13 +146,13 @@
   return transport_ ? transport_->counters() : TransportCounters{};
 }
 
-void FleetNode::CutLinksTo(const std::vector<HostId>& hosts) {
+void FleetNode::BlockLinksTo(const std::vector<HostId>& hosts) {
   std::vector<std::string> names;
   for (const HostId& it : hosts) {
     names.push_back(it.text());
   }
   if (transport_) {
-    transport_->CutLinksTo(std::move(names));
+    transport_->BlockLinksTo(std::move(names));
   }
 }
 
--- a/main/fleet_node.h
+++ b/main/fleet_node.h
@@ -35,7 +35,7 @@
   virtual void OnInForce(const Document& document) = 0;
   virtual void OnRefused(DocumentName name, const DocumentRefusal& refusal) = 0;
   // A peer reports that an endpoint is draining.
-  virtual void OnHeardDrain(const DrainObservation& observation) = 0;
+  virtual void OnPeerDrainObserved(const DrainObservation& observation) = 0;
 };
 
 // This host's membership in the fleet. Connects the links to peers, the fleet
@@ -70,12 +70,12 @@
   TransportCounters transport_counters() const;
   PlatformReaderCounters reader_counters() const { return reader_.counters(); }
   // Only for tests of partitions.
-  void CutLinksTo(const std::vector<HostId>& hosts);
+  void BlockLinksTo(const std::vector<HostId>& hosts);
 
  private:
   void OnFleetState(std::shared_ptr<const FleetState> state) override;
-  void OnHeardDrain(const DrainObservation& observation) override {
-    events_.OnHeardDrain(observation);
+  void OnPeerDrainObserved(const DrainObservation& observation) override {
+    events_.OnPeerDrainObserved(observation);
   }
   void OnDocument(Document document) override;
   void OnQueried(DocumentName name, std::uint64_t check) override;
--- a/main/store_daemon.cc
+++ b/main/store_daemon.cc
@@ -98,9 +98,9 @@
   options.fleet_key = settings.fleet.key;
   options.listen_ip = settings.fleet.listen.ip;
   options.listen_port = settings.fleet.listen.port;
-  options.unproved_connections = kMaxUnprovedConnections;
+  options.max_unauthenticated_connections = kMaxUnprovedConnections;
   options.silence_timeout = kLinkSilenceTimeout;
-  options.longest_backoff = kMaxDialBackoff;
+  options.max_backoff = kMaxDialBackoff;
   return std::make_unique<WebsocketTransport>(std::move(options), events);
 }
 
@@ -225,7 +225,7 @@
       "leaving={} drained_zones={} hosts={} seat={}/{}",
       state.routes->version, state.routes->routes.size(),
       state.endpoints.size(), leaving, JoinZones(state.drained_zones),
-      state.hosts, state.seat.number, state.seat.seats);
+      state.hosts, state.seat.number, state.seat.number_count);
 }
 
 void StoreDaemon::Stop() {
--- a/tests/main/test_fleet_gates.cc
+++ b/tests/main/test_fleet_gates.cc
@@ -18,7 +18,7 @@
   void OnInForce(const Document& /*document*/) override {}
   void OnRefused(DocumentName /*name*/,
                  const DocumentRefusal& /*refusal*/) override {}
-  void OnHeardDrain(const DrainObservation& /*observation*/) override {}
+  void OnPeerDrainObserved(const DrainObservation& /*observation*/) override {}
 };
 
 ClaimOptions WithoutQuarantine() {
@@ -110,7 +110,7 @@
   CHECK(hosts[0]->limits.Status().owns);
   request.deadline = Clock::now() + std::chrono::seconds(10);
   CHECK(hosts[1]->Claim(request).verdict == ClaimVerdict::kInProgress);
-  const KeptAnswer answer{200, "text/plain", "docked"};
+  const StoredAnswer answer{200, "text/plain", "docked"};
   hosts[0]->claims.Settle(request, first.claim, Outcome::kComplete, answer);
   while (hosts[0]->claims.Status().unsettled > 0 && Clock::now() < last) {
     std::this_thread::sleep_for(milliseconds(1));
--- a/tests/main/test_fleet_node.cc
+++ b/tests/main/test_fleet_node.cc
@@ -29,7 +29,7 @@
   void OnInForce(const Document& /*document*/) override {}
   void OnRefused(DocumentName /*name*/,
                  const DocumentRefusal& /*refusal*/) override {}
-  void OnHeardDrain(const DrainObservation& /*observation*/) override {}
+  void OnPeerDrainObserved(const DrainObservation& /*observation*/) override {}
 };
 
 FleetNodeOptions MakeOptions(const std::string& host,
@@ -39,8 +39,8 @@
   options.zone = ZoneId("z1");
   options.platform = SocketAddress{"127.0.0.1", platform_port};
   options.reader.watch = milliseconds(500);
-  options.reader.schedule.shortest_backoff = milliseconds(20);
-  options.reader.schedule.longest_backoff = milliseconds(100);
+  options.reader.schedule.min_backoff = milliseconds(20);
+  options.reader.schedule.max_backoff = milliseconds(100);
   options.fleet.enabled = true;
   options.fleet.listen = SocketAddress{"127.0.0.1", 0};
   options.fleet.key = "a key of the fleet";
--- a/tests/main/test_store_daemon.cc
+++ b/tests/main/test_store_daemon.cc
@@ -156,10 +156,10 @@
   store.PutJson("servers/i-1", EndpointJson(endpoint.port()));
   const auto daemon = StartDaemon(store.port());
   CHECK(Eventually([&] { return SendGet(*daemon, "/x/1")->status == 200; }));
-  store.RefuseWith(503);
+  store.SetErrorStatus(503);
   std::this_thread::sleep_for(milliseconds(300));
   CHECK(SendGet(*daemon, "/x/1")->status == 200);
-  store.RefuseWith(0);
+  store.SetErrorStatus(0);
   store.Remove("servers/i-1");
   store.PutJson("op/config", RouteTableJson(4, "/y/"));
   CHECK(Eventually([&] { return SendGet(*daemon, "/x/1")->status == 404; }));
