--- a/main/settings.cc
+++ b/main/settings.cc
@@ -101,8 +101,7 @@
   settings.proxy.measured.zone = settings.zone;
   settings.proxy.measured.retries = settings.proxy.balancer.retries;
   // Hosts share one retry budget here, so the credit that each host earns while
-  // idle would add up across the fleet; one refill per hour keeps it
-  // negligible.
+  // idle would add up across the fleet.
   settings.proxy.measured.retries.idle_refill = std::chrono::hours(1);
   return settings;
 }
