--- a/main/fleet_node.cc
+++ b/main/fleet_node.cc
@@ -36,7 +36,7 @@
   FleetCoreOptions core;
   core.membership = {options.host, incarnation, options.zone, fleet.heartbeat,
                      fleet.silence};
-  core.documents.digest = fleet.digest;
+  core.documents.digest_interval = fleet.digest;
   core.documents.fanout = static_cast<std::size_t>(fleet.fanout);
   core.seeds = fleet.seeds;
   core.gates = options.gates;
--- a/main/load_generator.cc
+++ b/main/load_generator.cc
@@ -195,7 +195,7 @@
       peer, asio::redirect_error(asio::use_awaitable, ec));
   connection->timer.cancel();
   if (ec) {
-    pool.Lose(address);
+    pool.Discard(address);
     co_return std::nullopt;
   }
   connection->socket.set_option(Tcp::no_delay(true), ec);
@@ -242,7 +242,7 @@
     pool.Put({address, kConnectionsPerEntry}, std::move((*connection)->socket),
              Clock::now());
   } else {
-    pool.Lose(address);
+    pool.Discard(address);
   }
   if (!is_complete) {
     record.outcome = LoadOutcome::kCut;
