--- a/tests/main/test_call_explainer.cc
+++ b/tests/main/test_call_explainer.cc
@@ -46,13 +46,13 @@
 
 TEST_CASE("a call is explained in chronological order over its hosts") {
   const CallExplanation found = ExplainCall("c-1", ReadBothLogs());
-  REQUIRE(found.meanings.size() == 2);
-  CHECK(found.meanings[0] ==
+  REQUIRE(found.explanations.size() == 2);
+  CHECK(found.explanations[0] ==
         "on h1: shed: no endpoint could have served it on time, or one refused "
         "it and the budget for repeats was spent; it did not run (2 ms in all, "
         "1 ms at endpoints; expected 160 ms by a report that was 12 ms old); "
         "sent 1 times, last to e1");
-  CHECK(found.meanings[1] ==
+  CHECK(found.explanations[1] ==
         "on h2: the endpoint's own answer 200 (700 ms in all, 690 ms at "
         "endpoints); sent 1 times, last to e2; later than its objective");
 }
